--- a/ladderhub/benchlink.py
+++ b/ladderhub/benchlink.py
@@ -13,17 +13,17 @@
 from ladderhub import interface as api
 from ladderhub.decide import Scheduler
 from ladderhub.translate import (
-    Row,
     FieldError,
-    choice_of,
-    code_of,
-    flag_of,
-    get,
-    int_of,
-    num_of,
-    part_of,
+    Row,
+    parse_choice,
+    parse_code,
+    read_field,
+    read_flag,
+    read_float,
+    read_int,
+    read_object,
     read_settings,
-    str_of,
+    read_str,
 )
 
 Tables = dict[int, tuple[api.MachineEntry, ...]]
@@ -50,31 +50,31 @@
 
 def _entry(row: Row) -> api.MachineEntry:
     return api.MachineEntry(
-        machine=str_of(row, "machine"),
-        stage=choice_of(_STAGES, "stage-state", row.get("stage-state")),
-        kind=int_of(row, "model", 0),
-        zone=int_of(row, "area", 0),
-        cell=int_of(row, "pod", 0),
-        ready_ns=int_of(row, "ready-at-ns", 0),
-        free_cores=num_of(row, "free-cores", 0.0),
-        free_memory=num_of(row, "open-memory", 0.0),
-        weight=num_of(row, "size", 1.0),
+        machine=read_str(row, "machine"),
+        stage=parse_choice(_STAGES, "stage-state", row.get("stage-state")),
+        kind=read_int(row, "model", 0),
+        zone=read_int(row, "area", 0),
+        cell=read_int(row, "pod", 0),
+        ready_ns=read_int(row, "ready-at-ns", 0),
+        free_cores=read_float(row, "free-cores", 0.0),
+        free_memory=read_float(row, "open-memory", 0.0),
+        weight=read_float(row, "size", 1.0),
     )
 
 
 def _asked(row: Row) -> api.TaskAsked:
-    marks = int_of(row, "marks", 0)
+    marks = read_int(row, "marks", 0)
     hinted = bool(marks & _MARK_HINT) and row.get("time-to-run-ns") is not None
     return api.TaskAsked(
-        task=int_of(row, "rid"),
-        key=str_of(row, "unit-id"),
-        klass=int_of(row, "category", 0),
-        service=str_of(row, "group"),
-        cores=num_of(row, "cores-asked"),
-        memory=num_of(row, "mem-needed"),
-        budget_ns=int_of(row, "budget-ns"),
-        tenant=int_of(row, "project", 0),
-        life_hint_ns=int_of(row, "time-to-run-ns") if hinted else None,
+        task=read_int(row, "rid"),
+        key=read_str(row, "unit-id"),
+        klass=read_int(row, "category", 0),
+        service=read_str(row, "group"),
+        cores=read_float(row, "cores-asked"),
+        memory=read_float(row, "mem-needed"),
+        budget_ns=read_int(row, "budget-ns"),
+        tenant=read_int(row, "project", 0),
+        life_hint_ns=read_int(row, "time-to-run-ns") if hinted else None,
         repeat=bool(marks & _MARK_REPEAT),
         came_again=bool(marks & _MARK_AGAIN),
     )
@@ -98,7 +98,7 @@
 
 def _read_bytes(row: Row) -> bytes:
     try:
-        return bytes.fromhex(str_of(row, "blob"))
+        return bytes.fromhex(read_str(row, "blob"))
     except ValueError:
         raise FieldError("field 'blob' is not hex") from None
 
@@ -107,56 +107,56 @@
     """One event of an instance in the module's terms."""
     match row["what"]:
         case "RosterChange":
-            kind = choice_of(_LISTS, "how", row.get("how"))
+            kind = parse_choice(_LISTS, "how", row.get("how"))
             entries: tuple[api.MachineEntry, ...] = ()
             if kind is not api.ListKind.FAILED:
-                number = int_of(row, "roster-id")
+                number = read_int(row, "roster-id")
                 if number not in tables:
                     raise FieldError(f"no Table has the number {number}")
                 entries = tables[number]
-            return api.MachineList(kind, int_of(row, "gen", 0), entries)
+            return api.MachineList(kind, read_int(row, "gen", 0), entries)
         case "Demand":
             return _asked(row)
         case "Standing":
-            return api.TaskOpen(_asked(row), str_of(row, "machine"))
+            return api.TaskOpen(_asked(row), read_str(row, "machine"))
         case "Landed":
             return api.TaskPlaced(
-                int_of(row, "rid"),
-                int_of(row, "trial"),
-                str_of(row, "machine"),
-                int_of(row, "delay-seen-ns", 0),
+                read_int(row, "rid"),
+                read_int(row, "trial"),
+                read_str(row, "machine"),
+                read_int(row, "delay-seen-ns", 0),
             )
         case "Signal":
-            topic = code_of(api.Topic, "topic", int_of(row, "topic"))
+            topic = parse_code(api.Topic, "topic", read_int(row, "topic"))
             return api.TaskNote(
-                int_of(row, "rid"),
-                int_of(row, "trial"),
-                str_of(row, "machine"),
+                read_int(row, "rid"),
+                read_int(row, "trial"),
+                read_str(row, "machine"),
                 topic,
-                num_of(row, "level", 0.0),
+                read_float(row, "level", 0.0),
             )
         case "Answer":
             return api.AttemptEnded(
-                task=int_of(row, "rid"),
-                attempt=int_of(row, "trial"),
-                machine=str_of(row, "machine"),
-                outcome=code_of(api.Outcome, "outcome", int_of(row, "outcome")),
-                reason=code_of(api.Reason, "detail", int_of(row, "detail", 0)),
-                concluded=flag_of(row, "ended"),
-                elapsed_ns=int_of(row, "delay-seen-ns", 0),
+                task=read_int(row, "rid"),
+                attempt=read_int(row, "trial"),
+                machine=read_str(row, "machine"),
+                outcome=parse_code(api.Outcome, "outcome", read_int(row, "outcome")),
+                reason=parse_code(api.Reason, "detail", read_int(row, "detail", 0)),
+                concluded=read_flag(row, "ended"),
+                elapsed_ns=read_int(row, "delay-seen-ns", 0),
                 report=_report(row, fields),
             )
         case "CancelledByClient":
-            return api.TaskWithdrawn(int_of(row, "rid"))
+            return api.TaskWithdrawn(read_int(row, "rid"))
         case "Alarm":
-            return api.TimerFired(int_of(row, "cookie"))
+            return api.TimerFired(read_int(row, "cookie"))
         case "Probed":
-            outcome = code_of(api.Outcome, "outcome", int_of(row, "outcome"))
+            outcome = parse_code(api.Outcome, "outcome", read_int(row, "outcome"))
             return api.ProbeAnswered(
-                str_of(row, "machine"), outcome, int_of(row, "delay-seen-ns", 0), _report(row, fields)
+                read_str(row, "machine"), outcome, read_int(row, "delay-seen-ns", 0), _report(row, fields)
             )
         case "Message":
-            return api.PeerMessage(int_of(row, "neighbour"), _read_bytes(row))
+            return api.PeerMessage(read_int(row, "neighbour"), _read_bytes(row))
         case other:
             raise FieldError(f"unknown event {other!r}")
 
@@ -203,10 +203,10 @@
         """Take one event line and give the actions it brings."""
         what = row.get("what")
         if what == "Table":
-            entries = get(row, "entries", (list,))
-            self._tables[int_of(row, "roster-id")] = tuple(_entry(entry) for entry in entries)
+            entries = read_field(row, "entries", (list,))
+            self._tables[read_int(row, "roster-id")] = tuple(_entry(entry) for entry in entries)
             return []
-        name = str_of(row, "scheduler")
+        name = read_str(row, "scheduler")
         if what == "Born":
             return self._born(name, row)
         if name not in self._instances:
@@ -225,9 +225,9 @@
         return [{"scheduler": name} | write_action(action) for action in actions]
 
     def _born(self, name: str, row: Row) -> list[Row]:
-        raw = get(row, "settings", (dict,))
-        fields = tuple(str(field) for field in part_of(raw, "load-report").get("fields", ()))
-        seed = int_of(row, "seed")
+        raw = read_field(row, "settings", (dict,))
+        fields = tuple(str(field) for field in read_object(raw, "load-report").get("fields", ()))
+        seed = read_int(row, "seed")
         try:
             settings = read_settings(raw)
             scheduler = Scheduler(settings, seed)
@@ -278,7 +278,7 @@
             if what == "Round":
                 if now_ns is not None:
                     raise FieldError("a Round inside a batch")
-                now_ns = int_of(row, "wall-ns")
+                now_ns = read_int(row, "wall-ns")
             elif now_ns is None:
                 raise FieldError(f"{what} outside a batch")
             elif what == "EofBatch":
--- a/ladderhub/decide/accounts.py
+++ b/ladderhub/decide/accounts.py
@@ -31,12 +31,12 @@
         machine, asked, use = attempt.machine, task.asked, self.class_use[task.klass]
         machine.hold(asked.service)
         attempt.use = [use[0].value * asked.cores, use[1].value * asked.memory]
-        machine.asked.add(now, asked.cores, asked.memory, running)
+        machine.requested.add(now, asked.cores, asked.memory, running)
         machine.used.add(now, attempt.use[0], attempt.use[1], running)
 
     def release(self, now: int, task: Task, attempt: Attempt) -> None:
         machine, asked = attempt.machine, task.asked
-        machine.asked.add(now, -asked.cores, -asked.memory)
+        machine.requested.add(now, -asked.cores, -asked.memory)
         machine.used.add(now, -attempt.use[0], -attempt.use[1])
         machine.let_go(asked.service, attempt.started is not None)
 
@@ -45,12 +45,15 @@
         if not self.settings.kinds:
             return True
         settings, size = self.settings, self.settings.kinds[machine.kind]
-        cores, memory = machine.asked.total[0] + task.asked.cores, machine.asked.total[1] + task.asked.memory
+        cores, memory = (
+            machine.requested.total[0] + task.asked.cores,
+            machine.requested.total[1] + task.asked.memory,
+        )
         return cores <= size.cores * settings.admit_cores and memory <= size.memory * settings.admit_memory
 
     def fill(self, now: int, need: tuple[float, float], calm: float, machine: Machine) -> float:
         """Use of the tighter of cores and memory, a task's need included, over what serves in full."""
-        size, own, beside = self.settings.kinds[machine.kind], machine.used.own, machine.asked.beside
+        size, own, beside = self.settings.kinds[machine.kind], machine.used.own, machine.requested.beside
         if now - machine.used.seen_ns < NOTE_FRESH_NS and machine.used.seen_ns >= 0:
             cores, memory = machine.used.total
         else:  # no fresh reading: what others have there by the usual use of what was asked
@@ -78,10 +81,10 @@
         size = self.settings.kinds[machine.kind]
         cores, memory = size.cores - report.cores_free, size.memory - report.memory_free
         of_use = self.settings.reports_count_use
-        (machine.used if of_use else machine.asked).observe(now, cores, memory)
+        (machine.used if of_use else machine.requested).observe(now, cores, memory)
         for at, used in enumerate((cores, memory)):
-            if of_use and machine.asked.total[at] > 0:
-                self.use_share[at].add(min(2.0, used / machine.asked.total[at]))
+            if of_use and machine.requested.total[at] > 0:
+                self.use_share[at].add(min(2.0, used / machine.requested.total[at]))
 
 
 class Telling:
@@ -98,7 +101,7 @@
         parts: list[bytes] = []
         for machine in list(self.changed.values())[: self.settings.message_bytes // TOLD.size]:
             del self.changed[machine.id]
-            figures = (min(0xFFFF, max(0, round(held * TOLD_PARTS))) for held in machine.asked.own)
+            figures = (min(0xFFFF, max(0, round(held * TOLD_PARTS))) for held in machine.requested.own)
             parts.append(TOLD.pack(machine.number, *figures))
         return [Tell(b"".join(parts))] if parts else []
 
@@ -108,5 +111,5 @@
         told = {number: (c / TOLD_PARTS, m / TOLD_PARTS) for number, c, m in TOLD.iter_unpack(event.data)}
         for machine in machines:
             if machine.number in told:
-                machine.asked.peers[event.peer] = told[machine.number]
-                machine.asked.reckon()
+                machine.requested.peers[event.peer] = told[machine.number]
+                machine.requested.reckon()
--- a/ladderhub/decide/estimates.py
+++ b/ladderhub/decide/estimates.py
@@ -33,9 +33,9 @@
 
         Danger: a machine that stands still, slows or is cut off keeps a line that looks short.  So an offer
         past its estimate counts what it is overdue, the usual guess for a wait of unknown length."""
-        if not machine.line:
+        if not machine.start_queue:
             return 0.0
-        oldest, *others = machine.line.values()
+        oldest, *others = machine.start_queue.values()
         return abs(oldest.sent_ns + oldest.own_ns - now) + sum(other.own_ns for other in others)
 
     def own_figure(self, now: int, task: Task, machine: Machine, level: int | None) -> float:
@@ -65,7 +65,7 @@
         if attempt.started is not None:
             return
         attempt.started = now
-        attempt.machine.line.pop(task.asked.task, None)
+        attempt.machine.start_queue.pop(task.asked.task, None)
         if not attempt.is_current():
             return
         klass, pace = task.klass, self.slowness(now, attempt.machine)
--- a/ladderhub/decide/fleet.py
+++ b/ladderhub/decide/fleet.py
@@ -29,7 +29,9 @@
     def serving(self, kind: int) -> list[Machine]:
         """Machines that the list has serving, of one kind or (-1) of all."""
         if kind not in self._takers:
-            self._takers[kind] = [m for m in self.machines.values() if not m.shut and kind in (-1, m.kind)]
+            self._takers[kind] = [
+                m for m in self.machines.values() if not m.is_unavailable and kind in (-1, m.kind)
+            ]
         return self._takers[kind]
 
     def homes_of(self, task: Task) -> dict[str, int]:
@@ -72,23 +74,25 @@
                 machine = self.machines[entry.machine] = Machine(entry, True)
             elif entry.ready_ns > machine.ready_ns:
                 machine.restart(entry.ready_ns)
-            was = (machine.kind, machine.zone, machine.shut)
+            was = (machine.kind, machine.zone, machine.is_unavailable)
             machine.kind, machine.zone, machine.cell = entry.kind, entry.zone, entry.cell
-            machine.shut = entry.stage is not Stage.SERVING
+            machine.is_unavailable = entry.stage is not Stage.SERVING
             machine.gone_ns = now if entry.stage is Stage.GONE else None
-            if was != (machine.kind, machine.zone, machine.shut) or len(self.machines) > known:
+            if was != (machine.kind, machine.zone, machine.is_unavailable) or len(self.machines) > known:
                 self.forget_derived()
-            if self.settings.list_shows_room and not machine.shut:
+            if self.settings.list_shows_room and not machine.is_unavailable:
                 size = self.settings.kinds[machine.kind]
-                machine.asked.observe(now, size.cores - entry.free_cores, size.memory - entry.free_memory)
+                machine.requested.observe(now, size.cores - entry.free_cores, size.memory - entry.free_memory)
         if event.kind is not ListKind.CHANGES:
             listed = {entry.machine for entry in event.entries}
             for machine in self.machines.values():
                 if machine.id not in listed and machine.gone_ns is None:
-                    machine.shut, machine.gone_ns = True, now
+                    machine.is_unavailable, machine.gone_ns = True, now
                     self.forget_derived()
         # Machines long gone are forgotten; not at once: tasks there may yet be handed over and must count.
-        gone = [each for each in self.machines.values() if each.gone_ns is not None and not each.held]
+        gone = [
+            each for each in self.machines.values() if each.gone_ns is not None and not each.active_services
+        ]
         forgotten = [each.id for each in gone if now - (each.gone_ns or 0) > FORGET_NS]
         for name in forgotten:
             del self.machines[name]
--- a/ladderhub/decide/picking.py
+++ b/ladderhub/decide/picking.py
@@ -26,7 +26,11 @@
     def pick(self, now: int, task: Task) -> Machine | None:
         settings, service = self.settings, task.asked.service
         homes, serving = self.fleet.homes_of(task), self.fleet.serving(settings.classes[task.klass].kind)
-        warm = (each for each in serving if service in each.held or service in each.kept or each.id in homes)
+        warm = (
+            each
+            for each in serving
+            if service in each.active_services or service in each.kept or each.id in homes
+        )
         known = {each.id: each for each in warm}
         near: list[Weighed] = []
         band = self._weigh(now, task, known.values(), float("inf"), near)
@@ -63,10 +67,12 @@
             if task.maybe_ran is not None and not rules.may_repeat(now, task, machine):
                 continue
             fill = ledger.fill(now, need, klass.calm_level, machine) if self.settings.kinds else 0.0
-            total = share * estimates.line(now, machine) if machine.line else 0.0
+            total = share * estimates.line(now, machine) if machine.start_queue else 0.0
             if fill > EASY:
                 total += estimates.crowding(fill, task)
-            own = fresh or service in machine.held or service in machine.kept or machine.id in homes
+            own = (
+                fresh or service in machine.active_services or service in machine.kept or machine.id in homes
+            )
             total += estimates.own_figure(now, task, machine, homes.get(machine.id)) if own else cold
             if total <= band:
                 near.append((total, fill, machine))
--- a/ladderhub/decide/records.py
+++ b/ladderhub/decide/records.py
@@ -78,17 +78,17 @@
 
     def __init__(self, entry: MachineEntry, listed: bool) -> None:
         self.id, self.kind, self.zone, self.cell = entry.machine, entry.kind, entry.zone, entry.cell
-        self.shut = not listed
+        self.is_unavailable = not listed
         self.gone_ns: int | None = None if listed else 0  # since when it is gone
         self.number = zlib.crc32(self.id.encode()) | 1
         self.restart(entry.ready_ns)
 
     def restart(self, ready_ns: int) -> None:
         self.ready_ns = ready_ns
-        self.line: dict[int, Attempt] = {}  # offers sent and not yet running, oldest first
-        self.held: dict[str, int] = {}  # services with tasks or offers of ours here
+        self.start_queue: dict[int, Attempt] = {}  # offers sent and not yet running, oldest first
+        self.active_services: dict[str, int] = {}  # services with tasks or offers of ours here
         self.kept: OrderedDict[str, None] = OrderedDict()  # services whose last task ended, oldest first
-        self.asked, self.used = Account(), Account()
+        self.requested, self.used = Account(), Account()
         self.rests: dict[tuple[int, int] | None, tuple[int, int]] = {}  # until when, next span
         self.errors = 0  # tasks in a row that first erred here, with none placed between
         self.notes = [(-NOTE_FRESH_NS, 0.0), (-NOTE_FRESH_NS, 0.0)]  # last of poor service, of short memory
@@ -105,14 +105,14 @@
         return any(self.rests[each][0] > now for each in (None, what) if each in self.rests)
 
     def hold(self, service: str) -> None:
-        self.held[service] = self.held.get(service, 0) + 1
+        self.active_services[service] = self.active_services.get(service, 0) + 1
         self.kept.pop(service, None)
 
     def let_go(self, service: str, started: bool) -> None:
         """One task or offer fewer; the program of the last that ran is kept for a while."""
-        self.held[service] -= 1
-        if not self.held[service]:
-            del self.held[service]
+        self.active_services[service] -= 1
+        if not self.active_services[service]:
+            del self.active_services[service]
             if started:
                 self.kept[service] = None
                 if len(self.kept) > KEPT_MOST:
--- a/ladderhub/decide/rules.py
+++ b/ladderhub/decide/rules.py
@@ -23,7 +23,7 @@
         self.settings = settings
         self.born_ns = -1
         self.ordinals: tuple[int, ...] = (settings.ordinal,)
-        self.lent_until_ns: int | None = None  # our own ordinal is for good
+        self.lease_until_ns: int | None = None  # our own ordinal is for good
         self.quiet_until_ns = 0  # fresh machines get nothing until then
         self.window_ns, self.fresh_ns = spans_of(settings)
         self.spread: dict[str, Counter[Machine]] = {}  # attempts and open tasks, by service and machine
@@ -36,7 +36,11 @@
     def may_send(self, now: int, task: Task, machine: Machine) -> bool:
         """The rules of the service for one machine, where the task may go at all."""
         klass, full = self.settings.classes[task.klass], self.full_places(task)
-        fits = not machine.shut and klass.kind in (-1, machine.kind) and self.may_repeat(now, task, machine)
+        fits = (
+            not machine.is_unavailable
+            and klass.kind in (-1, machine.kind)
+            and self.may_repeat(now, task, machine)
+        )
         return fits and place_of(machine, klass.spread) not in full and self.cold_ok(now, machine)
 
     def may_leave(self, now: int, task: Task, attempt: Attempt) -> bool:
@@ -86,7 +90,7 @@
             del self.spread[task.asked.service]
 
     def share(self, event: SeatShare) -> None:
-        self.ordinals, self.lent_until_ns = tuple(event.ordinals), event.until_ns
+        self.ordinals, self.lease_until_ns = tuple(event.ordinals), event.until_ns
 
     def change(self, now: int, settings: Settings) -> None:
         """Take other settings.  Shares of seats never fall as the safe number grows: old and new may mix.
@@ -121,8 +125,8 @@
             seats = sum(safe // count + ((each + first) % count < safe % count) for each in self.ordinals)
             machine.seats = (self.ordinals, seats)
         seats = machine.seats[1]
-        if self.lent_until_ns is not None:
-            return now < self.lent_until_ns and len(machine.sends) < seats
+        if self.lease_until_ns is not None:
+            return now < self.lease_until_ns and len(machine.sends) < seats
         young = machine.ready_ns < self.born_ns and now < self.born_ns + self.window_ns
         spare = seats // 2 if seats >= SEATS_MANY else 0
         return len(machine.sends) < (spare if young else seats - spare)
--- a/ladderhub/decide/scheduler.py
+++ b/ladderhub/decide/scheduler.py
@@ -29,8 +29,8 @@
         self.ledger, self.rules, self.telling = Ledger(settings), Rules(settings), Telling(settings)
         self.estimates = Estimates(settings, self.warmth)
         self.waiting = Waiting(settings, self.fleet, self.rules)
-        self.held = self.waiting.held
-        self.picking = Picking(settings, seed, self.fleet, self.ledger, self.rules, self.estimates)
+        self.waiting_tasks = self.waiting.held
+        self.picker = Picking(settings, seed, self.fleet, self.ledger, self.rules, self.estimates)
         self._sweep_set = self._tell_set = False
         self._out: list[api.Action] = []
         self._hear: dict[type, Callable[[int, Any], None]] = {
@@ -49,7 +49,7 @@
         if self.rules.born_ns < 0:
             self.rules.born_ns = now_ns
         self._hear[type(event)](now_ns, event)
-        if self.held and not self._sweep_set:
+        if self.waiting_tasks and not self._sweep_set:
             self._sweep_set = True
             self._out.append(api.SetTimer(now_ns + HOLD_STEP_NS, SWEEP_TIMER))
         if self.telling.changed and self.telling.allowed and not self._tell_set:
@@ -64,7 +64,7 @@
     def _on_settings(self, now: int, event: api.SettingsChanged) -> None:
         """Go on by other settings.  Nothing is forgotten but what follows from settings alone."""
         self.rules.change(now, event.settings)
-        parts: tuple[Any, ...] = (self, self.fleet, self.ledger, self.estimates, self.picking, self.waiting)
+        parts: tuple[Any, ...] = (self, self.fleet, self.ledger, self.estimates, self.picker, self.waiting)
         for part in parts:
             part.settings = event.settings
         self.fleet.forget_derived()
@@ -87,11 +87,11 @@
         """Send the task, or hold it, or give up where no further attempt can be allowed."""
         if not self.rules.may_go(now, task):
             self._give_up(task)
-        elif (machine := self.picking.pick(now, task)) is not None:
-            self.held.pop(task.asked.task, None)
+        elif (machine := self.picker.pick(now, task)) is not None:
+            self.waiting_tasks.pop(task.asked.task, None)
             self._send(now, task, machine)
         else:
-            self.held[task.asked.task] = task
+            self.waiting_tasks[task.asked.task] = task
 
     def _on_timer(self, now: int, event: api.TimerFired) -> None:
         task = self.tasks.get(event.timer - 2)
@@ -109,7 +109,7 @@
             return
         task.attempt = attempt = Attempt(task.sent, machine, now)
         attempt.line_ns = round(self.estimates.line(now, machine))
-        attempt.held = task.asked.service in machine.held
+        attempt.held = task.asked.service in machine.active_services
         if not attempt.held:
             attempt.depth = machine.depth_of(task.asked.service)
             attempt.level = self.fleet.homes_of(task).get(machine.id)
@@ -117,7 +117,7 @@
         task.sent, task.spent = task.sent + 1, task.spent + 1
         if machine.ready_ns:
             machine.sends.append(now)
-        machine.line[task.asked.task] = attempt
+        machine.start_queue[task.asked.task] = attempt
         self._charge(now, task, attempt)
         self._out.append(api.Send(task.asked.task, machine.id, self.estimates.timeout(now, task, attempt)))
 
@@ -136,7 +136,7 @@
         task = self.tasks.get(number)
         if task is not None:
             task.ended = True
-            self.held.pop(number, None)
+            self.waiting_tasks.pop(number, None)
             if task.attempt is None:
                 del self.tasks[number]
 
@@ -193,7 +193,7 @@
         self.ledger.charge(now, task, attempt, running)
 
     def _release(self, now: int, task: Task, attempt: Attempt) -> None:
-        attempt.machine.line.pop(task.asked.task, None)
+        attempt.machine.start_queue.pop(task.asked.task, None)
         self.rules.count(task, attempt.machine, -1)
         if attempt.is_current():
             self.telling.changed[attempt.machine.id] = attempt.machine
--- a/ladderhub/decide/warmth.py
+++ b/ladderhub/decide/warmth.py
@@ -15,7 +15,7 @@
 
     def share(self, service: str, machine: Machine, level: int | None) -> float:
         """1 where the service is held or offered; kept and unseen programs by what was found."""
-        if service in machine.held:
+        if service in machine.active_services:
             return 1.0
         unseen = 0.0 if level is None else self.homes[level].value
         depth = machine.depth_of(service)
--- a/ladderhub/platform/config.py
+++ b/ladderhub/platform/config.py
@@ -17,7 +17,7 @@
 from ladderhub.loop.stream import Address
 from ladderhub.platform.words import Names
 from ladderhub.signalling.journal import Entry, JournalEvent, event_of
-from ladderhub.translate import FieldError, part_of, read_settings
+from ladderhub.translate import FieldError, read_object, read_settings
 
 MS = 1_000_000
 NEVER_NS = 1 << 62
@@ -96,7 +96,7 @@
         raise ConfigError("not set", where="PROXY_LISTEN", meant="the address for owners, HOST:PORT,")
     try:
         settings, names = read_settings(file.settings), Names(file.settings)
-        limits, prices = part_of(file.settings, "ceilings"), part_of(file.settings, "prices")
+        limits, prices = read_object(file.settings, "ceilings"), read_object(file.settings, "prices")
     except (FieldError, ValueError, TypeError, AttributeError) as fault:
         raise ConfigError(str(fault), where=f"{path}: settings") from None
     # On sockets a dial that came to nothing is no attempt: nobody has seen the set-up.
--- a/ladderhub/platform/service.py
+++ b/ladderhub/platform/service.py
@@ -223,7 +223,7 @@
             "unread_ms": lambda: self._unread_ms,
             "accept_ms": self.door.take_longest_wait_ms,
             "unheard": self.door.unheard,
-            "held": lambda: len(self.tasks.module.held),
+            "held": lambda: len(self.tasks.module.waiting_tasks),
         }
 
     def _round_ms(self) -> int:
--- a/ladderhub/platform/words.py
+++ b/ladderhub/platform/words.py
@@ -4,7 +4,7 @@
 
 from ladderhub import interface as api
 from ladderhub.signalling import Cause, HostRow
-from ladderhub.translate import Row, choice_of, get, str_of
+from ladderhub.translate import Row, parse_choice, read_field, read_str
 
 MS = 1_000_000
 _STAGES = {"ready": api.Stage.SERVING, "draining": api.Stage.DRAINING, "gone": api.Stage.GONE}
@@ -50,8 +50,10 @@
     """Classes, tenants, machine kinds and zones by the names that the settings give them, as indices."""
 
     def __init__(self, settings: Row) -> None:
-        self.classes = {str_of(row, "name"): at for at, row in enumerate(get(settings, "classes", (list,)))}
-        self.tenants = {str_of(row, "name"): at for at, row in enumerate(settings.get("realms") or ())}
+        self.classes = {
+            read_str(row, "name"): at for at, row in enumerate(read_field(settings, "classes", (list,)))
+        }
+        self.tenants = {read_str(row, "name"): at for at, row in enumerate(settings.get("realms") or ())}
         self.kinds = {str(name): at for at, name in enumerate(settings.get("models") or ())}
         self.zones = {str(name): at for at, name in enumerate(settings.get("zones") or ())}
 
@@ -59,9 +61,9 @@
         """One row of the journal; FieldError where it names what the settings don't know."""
         return api.MachineEntry(
             machine=row.name,
-            stage=choice_of(_STAGES, "status", row.status),
-            kind=choice_of(self.kinds, "type", row.type),
-            zone=choice_of(self.zones, "zone", row.zone),
+            stage=parse_choice(_STAGES, "status", row.status),
+            kind=parse_choice(self.kinds, "type", row.type),
+            zone=parse_choice(self.zones, "zone", row.zone),
             cell=row.group,
             ready_ns=row.since_ms * MS,
             free_cores=row.left_over[0],
--- a/ladderhub/translate.py
+++ b/ladderhub/translate.py
@@ -30,7 +30,7 @@
     remedy = "look at the field that is named: the other side words it otherwise than published"
 
 
-def get(row: Row, name: str, kinds: tuple[type, ...], default: Any = _MISSING) -> Any:
+def read_field(row: Row, name: str, kinds: tuple[type, ...], default: Any = _MISSING) -> Any:
     value = row.get(name)
     if value is None:
         if default is _MISSING:
@@ -41,34 +41,34 @@
     return value
 
 
-def int_of(row: Row, name: str, default: Any = _MISSING) -> int:
-    return int(get(row, name, (int,), default))
+def read_int(row: Row, name: str, default: Any = _MISSING) -> int:
+    return int(read_field(row, name, (int,), default))
 
 
-def num_of(row: Row, name: str, default: Any = _MISSING) -> float:
-    return float(get(row, name, (int, float), default))
+def read_float(row: Row, name: str, default: Any = _MISSING) -> float:
+    return float(read_field(row, name, (int, float), default))
 
 
-def str_of(row: Row, name: str) -> str:
-    return str(get(row, name, (str,)))
+def read_str(row: Row, name: str) -> str:
+    return str(read_field(row, name, (str,)))
 
 
-def flag_of(row: Row, name: str) -> bool:
-    return bool(get(row, name, (bool,), False))
+def read_flag(row: Row, name: str) -> bool:
+    return bool(read_field(row, name, (bool,), False))
 
 
-def part_of(row: Row, name: str) -> Row:
-    part: Row = get(row, name, (dict,), {})
+def read_object(row: Row, name: str) -> Row:
+    part: Row = read_field(row, name, (dict,), {})
     return part
 
 
-def choice_of(table: dict[str, Any], name: str, word: Any) -> Any:
+def parse_choice(table: dict[str, Any], name: str, word: Any) -> Any:
     if word not in table:
         raise FieldError(f"field '{name}' holds the unknown value {word!r}")
     return table[word]
 
 
-def code_of(kind: Callable[[int], Any], name: str, value: int) -> Any:
+def parse_code(kind: Callable[[int], Any], name: str, value: int) -> Any:
     try:
         return kind(value)
     except ValueError:
@@ -84,16 +84,16 @@
 
 def _task_class(row: Row, index: int, extra: Row) -> api.TaskClass:
     return api.TaskClass(
-        effect=choice_of(_EFFECTS, "effect", row.get("effect")),
-        aim_ns=int_of(row, "promise-ns"),
-        deadline_ns=int_of(row, "deadline-ns"),
-        dedupe_scope=choice_of(_SCOPES, "group", row.get("group", "all")),
-        dedupe_window_ns=int_of(row, "window-ns", 0),
-        worth=num_of(row, "worth", 1.0),
-        late_worth=num_of(row, "late-value", 0.0),
+        effect=parse_choice(_EFFECTS, "effect", row.get("effect")),
+        aim_ns=read_int(row, "promise-ns"),
+        deadline_ns=read_int(row, "deadline-ns"),
+        dedupe_scope=parse_choice(_SCOPES, "group", row.get("group", "all")),
+        dedupe_window_ns=read_int(row, "window-ns", 0),
+        worth=read_float(row, "worth", 1.0),
+        late_worth=read_float(row, "late-value", 0.0),
         start_worth_s=float(_at(extra.get("class-start-s"), index, 0.0)),
         kind=int(_at(extra.get("needs-kind"), index, -1)),
-        spread=choice_of(_SCOPES, "spread-over", _at(extra.get("spread-over"), index, "none")),
+        spread=parse_choice(_SCOPES, "spread-over", _at(extra.get("spread-over"), index, "none")),
         spread_most=int(_at(extra.get("class-most"), index, 1)),
         priority=int(_at(extra.get("class-priority"), index, 0)),
         calm_level=float(_at(extra.get("calm-level"), index, 1.0)),
@@ -103,54 +103,56 @@
 
 def _tenants(rows: Any, quotas: Any) -> tuple[api.Tenant, ...]:
     return tuple(
-        api.Tenant(num_of(row, "portion", 1.0), num_of(row, "quota-per-s", 0.0), float(_at(quotas, at, 0.0)))
+        api.Tenant(
+            read_float(row, "portion", 1.0), read_float(row, "quota-per-s", 0.0), float(_at(quotas, at, 0.0))
+        )
         for at, row in enumerate(rows or ())
     )
 
 
 def read_settings(row: Row) -> api.Settings:
     """The settings of the wire in the module's terms; keys that are not known here are left out."""
-    extra, limits = part_of(row, "specifics"), part_of(row, "ceilings")
-    rules, prices = part_of(row, "rules"), part_of(row, "prices")
+    extra, limits = read_object(row, "specifics"), read_object(row, "ceilings")
+    rules, prices = read_object(row, "rules"), read_object(row, "prices")
     sizes = extra.get("size-cores") or []
     memories = extra.get("size-memory") or []
-    classes = get(row, "classes", (list,))
+    classes = read_field(row, "classes", (list,))
     return api.Settings(
         classes=tuple(_task_class(item, at, extra) for at, item in enumerate(classes)),
         kinds=tuple(api.MachineKind(float(c), float(m)) for c, m in zip(sizes, memories, strict=True)),
         tenants=_tenants(row.get("realms"), extra.get("tenant-quota-cores")),
-        schedulers=int_of(row, "balancers", 1),
-        ordinal=int_of(row, "ordinal", 0),
-        zone=int_of(row, "my-zone", 0),
-        tick_ns=int_of(row, "tick-ns", _NS_PER_MS),
-        max_attempts=int_of(limits, "most-tries", 1),
-        admit_cores=num_of(extra, "admit-cores", 1.0),
-        admit_memory=num_of(extra, "admit-memory", 1.0),
+        schedulers=read_int(row, "balancers", 1),
+        ordinal=read_int(row, "ordinal", 0),
+        zone=read_int(row, "my-zone", 0),
+        tick_ns=read_int(row, "tick-ns", _NS_PER_MS),
+        max_attempts=read_int(limits, "most-tries", 1),
+        admit_cores=read_float(extra, "admit-cores", 1.0),
+        admit_memory=read_float(extra, "admit-memory", 1.0),
         first_at_running=extra.get("confirms") == "running",
-        machines_push_out=flag_of(extra, "displaces"),
-        list_shows_room=flag_of(extra, "view"),
+        machines_push_out=read_flag(extra, "displaces"),
+        list_shows_room=read_flag(extra, "view"),
         reports_count_use=extra.get("report-counts") == "used",
-        may_abort=flag_of(limits, "cancelling"),
-        may_probe=flag_of(limits, "probes"),
-        may_message=flag_of(limits, "peers"),
+        may_abort=read_flag(limits, "cancelling"),
+        may_probe=read_flag(limits, "probes"),
+        may_message=read_flag(limits, "peers"),
         list_on_request=row.get("discovery") == "subscribe",
-        list_ask_within_ns=int_of(rules, "must-ask-in-ns", 0),
-        advises_retry=flag_of(limits, "retry-after"),
-        max_retry_advice_ns=int_of(limits, "max-retry-after-ns", 0),
-        over_share_worth=num_of(row, "over-share-worth", 1.0),
-        drain_grace_ns=int_of(rules, "drain-grace-ns", 0),
-        cold_pace=num_of(rules, "cold-from", 1.0),
-        cold_span_ns=int_of(rules, "cold-ns", 0),
-        cold_window_ns=int_of(rules, "fall-ns", 0),
-        cold_multiple=num_of(rules, "fall-multiple", 1.0),
-        cold_safe_offers=num_of(extra, "cold-sends", 0.0),
-        settle_ns=int_of(extra, "settle-ns", 0),
-        price_move=num_of(prices, "moves", 0.0),
-        price_eviction_moves=num_of(extra, "eviction-as-moves", 1.0),
-        price_machines_in_use=num_of(prices, "fleet", 0.0),
-        price_waste=num_of(prices, "waste", 0.0),
-        price_refused_offer=num_of(extra, "no-price", 0.0),
-        price_cross_zone=num_of(prices, "cross-zone", 0.0),
-        price_probe=num_of(prices, "probe", 0.0),
-        price_message=num_of(prices, "peer", 0.0),
+        list_ask_within_ns=read_int(rules, "must-ask-in-ns", 0),
+        advises_retry=read_flag(limits, "retry-after"),
+        max_retry_advice_ns=read_int(limits, "max-retry-after-ns", 0),
+        over_share_worth=read_float(row, "over-share-worth", 1.0),
+        drain_grace_ns=read_int(rules, "drain-grace-ns", 0),
+        cold_pace=read_float(rules, "cold-from", 1.0),
+        cold_span_ns=read_int(rules, "cold-ns", 0),
+        cold_window_ns=read_int(rules, "fall-ns", 0),
+        cold_multiple=read_float(rules, "fall-multiple", 1.0),
+        cold_safe_offers=read_float(extra, "cold-sends", 0.0),
+        settle_ns=read_int(extra, "settle-ns", 0),
+        price_move=read_float(prices, "moves", 0.0),
+        price_eviction_moves=read_float(extra, "eviction-as-moves", 1.0),
+        price_machines_in_use=read_float(prices, "fleet", 0.0),
+        price_waste=read_float(prices, "waste", 0.0),
+        price_refused_offer=read_float(extra, "no-price", 0.0),
+        price_cross_zone=read_float(prices, "cross-zone", 0.0),
+        price_probe=read_float(prices, "probe", 0.0),
+        price_message=read_float(prices, "peer", 0.0),
     )
--- a/tests/decide/test_decisions.py
+++ b/tests/decide/test_decisions.py
@@ -26,7 +26,7 @@
     Topic,
 )
 from ladderhub.decide.picking import NEAR_NS, NEAR_SHARE
-from tests.helpers import CLASS, MS, Bed, S, calls_of, settings
+from tests.helpers import CLASS, MS, Bed, S, count_calls, settings
 
 
 def run(bed: Bed, task: int, machine: str, after_ns: int) -> None:
@@ -105,7 +105,7 @@
     bed.listed(ListKind.RECALLED, entry)
     for task in range(16):
         bed.feed(TaskOpen(bed.asked(task), "m0"))
-    assert bed.scheduler.fleet.machines["m0"].asked.total[0] == pytest.approx(16.0)
+    assert bed.scheduler.fleet.machines["m0"].requested.total[0] == pytest.approx(16.0)
     assert bed.sent(bed.ask(50)).machine == "m0"  # the machine takes up to 32 cores asked
 
 
@@ -208,7 +208,7 @@
     bed.listed(ListKind.FULL, *rows)
     for task in range(1, 60):
         bed.place(task, service=f"s{task % 20}", cores=0.5, memory=0.5)
-    actions, calls = calls_of(lambda: bed.ask(100, service="new", cores=0.5, memory=0.5))
+    actions, calls = count_calls(lambda: bed.ask(100, service="new", cores=0.5, memory=0.5))
     sent = bed.sent(actions)
     assert calls < 5 * 1024
     # The rule itself, spelled out: of the sums near the lowest, the emptiest machine.
@@ -242,7 +242,7 @@
     bed.listed(ListKind.FULL, *(replace(full, machine=f"m{at}") for at in range(300)))
     for task in range(1, 201):
         assert not bed.ask(task, service=f"s{task}", cores=2.0 if task % 2 else 1.0, budget_ns=60 * S)
-    actions, calls = calls_of(lambda: bed.wait(20 * MS))
+    actions, calls = count_calls(lambda: bed.wait(20 * MS))
     assert not actions
     assert calls < 20 * 300  # not 200 times 300
     # Room for the small ones on one machine: the small ones go, whatever was found of the large ones.
@@ -313,12 +313,12 @@
     scheduler = bed.scheduler
     machine = scheduler.fleet.machines["m39"]
     assert len(scheduler.fleet.machines) < 10
-    assert not scheduler.rules.spread and not scheduler.tasks and not scheduler.held
+    assert not scheduler.rules.spread and not scheduler.tasks and not scheduler.waiting_tasks
     assert len(machine.sends) <= 1 and len(machine.kept) <= 16
     bed.place(1)
     bed.wait(S)
     bed.place(2)
-    assert max(len(account.history) for account in (machine.asked, machine.used)) <= 3
+    assert max(len(account.history) for account in (machine.requested, machine.used)) <= 3
 
 
 def pair(**changes: object) -> tuple[Settings, Settings]:
--- a/tests/decide/test_leaving.py
+++ b/tests/decide/test_leaving.py
@@ -90,7 +90,7 @@
     bed = Bed(settings(replace(CLASS, effect=effect)), machines=0 if not lost else 2)
     bed.ask(1)
     assert [type(each) for each in bed.feed(AnswerDue(1))][:1] == [said]
-    assert not bed.scheduler.held
+    assert not bed.scheduler.waiting_tasks
 
 
 FLEETS = [(16, 124.0), (16, 7.0), (23, 40.0), (30, 31.0), (230, 60.0)]
--- a/tests/decide/test_waiting.py
+++ b/tests/decide/test_waiting.py
@@ -57,7 +57,7 @@
     stuck = 3 * LOOKS_MOST
     for task in range(stuck):
         bed.ask(task, cores=0.1, memory=0.1, service=f"svc-{task}")
-    for held in bed.scheduler.held.values():
+    for held in bed.scheduler.waiting_tasks.values():
         held.struck |= set(machines)
     bed.ask(stuck, cores=0.1, memory=0.1)
     bed.change("m0", stage=Stage.SERVING)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -57,7 +57,7 @@
     return replace(base, **changes)
 
 
-def calls_of(work: Callable[[], T]) -> tuple[T, int]:
+def count_calls(work: Callable[[], T]) -> tuple[T, int]:
     """What the work gives, and how many calls it took: a cost that no clock is asked for."""
     profile = cProfile.Profile(builtins=False)
     given = profile.runcall(work)
--- a/tests/peers/test_peer_service.py
+++ b/tests/peers/test_peer_service.py
@@ -118,7 +118,7 @@
 def test_without_electors_the_module_keeps_its_ordinal(world: World) -> None:
     address = free_address()
     daemon, service = start(world, "alpha", address, [address])
-    assert service.leases is None and daemon.module.rules.lent_until_ns is None
+    assert service.leases is None and daemon.module.rules.lease_until_ns is None
 
 
 def test_an_unsure_view_uses_no_slot(world: World) -> None:
@@ -126,7 +126,7 @@
     address = free_address()
     daemon, service = start(world, "alpha", address, [address], electors=[address], lease="1200ms")
     leases = service.leases
-    assert leases is not None and daemon.module.rules.lent_until_ns == -1
+    assert leases is not None and daemon.module.rules.lease_until_ns == -1
     world.until(lambda: len(leases.usable(world.loop.now_ns()).slots) == 2, 30)
     service.view.confirmed = False
     world.until(lambda: daemon.module.rules.ordinals == ())
--- a/tests/platform/test_crowd.py
+++ b/tests/platform/test_crowd.py
@@ -21,7 +21,7 @@
 
 def slow_down(bed: Bed, pick_ns: int = DECISION_NS) -> None:
     """Let the module take as long as on a slow machine: the bed's clock moves by it."""
-    module, picking = bed.module(), bed.module().picking
+    module, picking = bed.module(), bed.module().picker
     handle, pick = module.handle, picking.pick
 
     def slow_event(now_ns: int, event: api.Event) -> list[api.Action]:
--- a/tests/platform/test_eviction.py
+++ b/tests/platform/test_eviction.py
@@ -6,7 +6,7 @@
 
 from ladderhub.platform.eviction import EvictionOrder, Trust
 from ladderhub.signalling import Kind, Message
-from tests.helpers import calls_of
+from tests.helpers import count_calls
 from tests.platform.bed import Owner, stand, yes
 
 
@@ -30,7 +30,7 @@
         bed = beds(yes, sockets=512)
         strangers = [Owner(bed) for _ in range(callers)]
         bed.run(lambda bed=bed, callers=callers: bed.service.door.count() == callers)
-        made, cost = calls_of(bed.service.door._make_room)
+        made, cost = count_calls(bed.service.door._make_room)
         assert made and bed.service.door.count() == callers - 1
         costs.append(cost)
         del strangers
--- a/tests/platform/test_gone.py
+++ b/tests/platform/test_gone.py
@@ -113,7 +113,7 @@
     first.say(*held)
     last = bed.setup(left=8000, cores=2)
     other.say(last)
-    bed.run(lambda: len(bed.module().held) == 4)
+    bed.run(lambda: len(bed.module().waiting_tasks) == 4)
     go(bed, first, held[0].id, "closes")
     # Room comes, and the next look at the waiting is taken before the owner's end is read.
     link = bed.service.links.get("m0")
--- a/tests/platform/test_journal.py
+++ b/tests/platform/test_journal.py
@@ -181,7 +181,7 @@
     good = Owner(bed)
     standing, open_one = stand(bed, good), bed.setup(left=8000, cores=32)
     good.say(open_one)
-    bed.run(lambda: bed.module().held)
+    bed.run(lambda: bed.module().waiting_tasks)
     address = bed.journal.listener.address
     bed.journal.listener.close()
     bed.journal.streams[0].abort()
--- a/tests/platform/test_machines.py
+++ b/tests/platform/test_machines.py
@@ -152,7 +152,7 @@
         return [real.row() | {"name": f"m{at}", "group": at // 6} for at in range(first, first + 1024)]
 
     bed.service.take(decode_event(json.dumps(event(2, *rows(0), full=True)).encode()))
-    assert sum(not machine.shut for machine in bed.module().fleet.machines.values()) == 1024
+    assert sum(not machine.is_unavailable for machine in bed.module().fleet.machines.values()) == 1024
     bed.service.take(decode_event(json.dumps(event(3, *rows(1024), full=True)).encode()))
     assert {stand(bed, owner).id for _ in range(20)} == {m.id for m in real.got(Kind.SETUP)}
     assert all(int(offer.machine[1:]) >= 1024 for link in bed.service.links._links.values()
--- a/tests/platform/test_setups.py
+++ b/tests/platform/test_setups.py
@@ -289,8 +289,8 @@
     for machine in bed.machines:
         view, link = module.fleet.machines[machine.name], bed.service.links.get(machine.name)
         assert link is not None and set(link.standing) == stands[machine.name]
-        assert round(view.asked.own[0]) == sum(view.held.values()) == len(stands[machine.name])
-        assert not view.line
+        assert round(view.requested.own[0]) == sum(view.active_services.values()) == len(stands[machine.name])
+        assert not view.start_queue
     assert sum(map(len, stands.values())) == 6 and len(module.tasks) == 6 and bed.service.tasks.open == 0
 
 
