--- a/ladderhub/decide/estimates.py
+++ b/ladderhub/decide/estimates.py
@@ -1,4 +1,4 @@
-"""Times to start: lines of machines, own figures warm and cold, and what starts teach of both."""
+"""Estimated times to start: queue delay, warm and cold starts, and how starts update these estimates."""
 
 from collections import defaultdict
 
@@ -6,75 +6,86 @@
 from ladderhub.decide.warmth import Warmth
 from ladderhub.interface import Effect, Settings
 
-FIRST_WARM_NS = 250 * MS  # figures before anything was seen: a cold start is worth avoiding,
-FIRST_COLD_NS = 2 * S  # yet not at the price of a long line
-EASY = 0.8  # projected use over the calm level up to which crowding costs nothing
-TIMEOUT_LEAST_NS = 1_500 * MS  # shortest time-out of a repeatable offer
-TIMEOUT_TIMES = 2.0  # and as a multiple of the time a cold start would take: most cold starts must end in it
-ACCEPT_LEAST_NS, ACCEPT_TIMES = 1 * S, 8.0  # the same where machines answer on acceptance, by its average
+INITIAL_WARM_NS = 250 * MS  # estimates before any start was seen: a cold start is worth avoiding,
+INITIAL_COLD_NS = 2 * S  # but not at the price of a long queue
+UNCROWDED_FILL = 0.8  # projected use over the calm level up to which crowding adds no delay
+MIN_TIMEOUT_NS = 1_500 * MS  # shortest time-out of a repeatable offer
+TIMEOUT_FACTOR = 2.0  # time-out over the expected time of a cold start: most cold starts must finish in it
+# The same where machines answer on acceptance; the factor applies to the mean time to acceptance.
+MIN_ACCEPT_TIMEOUT_NS, ACCEPT_TIMEOUT_FACTOR = 1 * S, 8.0
 
 
 class Estimates:
-    """Averages by class, and the sums that are made of them."""
+    """Mean start times by class, and the estimates computed from them."""
 
     def __init__(self, settings: Settings, warmth: Warmth) -> None:
         self.settings, self.warmth = settings, warmth
-        self.warm: defaultdict[int, Mean] = defaultdict(lambda: Mean(FIRST_WARM_NS))
-        self.cold: defaultdict[int, Mean] = defaultdict(lambda: Mean(FIRST_COLD_NS))
-        self.accept = Mean(0.0)  # time to acceptance, where that is the first answer
-        self.line_share = Mean(1.0)  # how much of a line is really waited: starts run side by side
+        self.warm_start: defaultdict[int, Mean] = defaultdict(lambda: Mean(INITIAL_WARM_NS))
+        self.cold_start: defaultdict[int, Mean] = defaultdict(lambda: Mean(INITIAL_COLD_NS))
+        self.accept_time = Mean(0.0)  # time to acceptance, where that is the first answer
+        self.queue_delay_share = Mean(1.0)  # share of the queue delay really waited: starts run in parallel
 
-    def crowding(self, fill: float, task: Task) -> float:
-        """What crowding is worth avoiding: a cold start where use is at the calm level; if easy, nothing."""
-        return self.cold[task.klass].value * (max(0.0, fill - EASY) / (1 - EASY)) ** 2
+    def estimate_crowding_delay(self, fill: float, task: Task) -> float:
+        """Return the delay equivalent to crowding: a cold start at the calm level, 0 up to UNCROWDED_FILL."""
+        return (
+            self.cold_start[task.klass].value * (max(0.0, fill - UNCROWDED_FILL) / (1 - UNCROWDED_FILL)) ** 2
+        )
 
-    def line(self, now: int, machine: Machine) -> float:
-        """Remainder of the oldest open offer and the estimates of the others.
+    def estimate_queue_delay(self, now: int, machine: Machine) -> float:
+        """Return the remaining time of the oldest open offer plus the expected start times of the others.
 
-        Danger: a machine that stands still, slows or is cut off keeps a line that looks short.  So an offer
-        past its estimate counts what it is overdue, the usual guess for a wait of unknown length."""
+        A machine that hangs, slows down or is cut off keeps a queue that looks short.  An offer past its
+        expected time therefore counts as the time it is overdue, the usual estimate for a wait of unknown
+        length."""
         if not machine.start_queue:
             return 0.0
         oldest, *others = machine.start_queue.values()
-        return abs(oldest.sent_ns + oldest.own_ns - now) + sum(other.own_ns for other in others)
+        return abs(oldest.sent_ns + oldest.expected_start_ns - now) + sum(
+            other.expected_start_ns for other in others
+        )
 
-    def own_figure(self, now: int, task: Task, machine: Machine, level: int | None) -> float:
-        warm = self.warmth.share(task.asked.service, machine, level)
-        figure = warm * self.warm[task.klass].value + (1 - warm) * self.cold[task.klass].value
-        return figure * self.slowness(now, machine)
+    def estimate_start(self, now: int, task: Task, machine: Machine, tier: int | None) -> float:
+        warm_share = self.warmth.estimate_warm_share(task.asked.service, machine, tier)
+        mean = (
+            warm_share * self.warm_start[task.klass].value
+            + (1 - warm_share) * self.cold_start[task.klass].value
+        )
+        return mean * self.compute_slowdown(now, machine)
 
-    def slowness(self, now: int, machine: Machine) -> float:
-        """How many times longer starts take on a fresh machine, if its pace grows in a straight line."""
+    def compute_slowdown(self, now: int, machine: Machine) -> float:
+        """Return how many times longer starts take on a fresh machine, if its speed rises linearly."""
         age, span, pace = now - machine.ready_ns, self.settings.cold_span_ns, self.settings.cold_pace
-        fresh = machine.ready_ns and age < span
-        return 1 / (pace + (1 - pace) * max(0, age) / span) if fresh else 1.0
+        is_fresh = machine.ready_ns and age < span
+        return 1 / (pace + (1 - pace) * max(0, age) / span) if is_fresh else 1.0
 
-    def timeout(self, now: int, task: Task, attempt: Attempt) -> int | None:
-        """Unsafe tasks and last attempts are given all the time there is: giving up leaves only failure."""
-        if task.promise.effect is Effect.UNSAFE or task.spent >= self.settings.max_attempts:
+    def choose_timeout(self, now: int, task: Task, attempt: Attempt) -> int | None:
+        """Return None for unsafe tasks and last attempts: after a time-out they could only fail."""
+        if task.accepted_class.effect is Effect.UNSAFE or task.used_attempts >= self.settings.max_attempts:
             return None
         if self.settings.first_at_running:
-            own = attempt.line_ns + self.cold[task.klass].value
-            span = max(TIMEOUT_LEAST_NS, round(TIMEOUT_TIMES * own))
+            expected = attempt.queue_delay_ns + self.cold_start[task.klass].value
+            timeout_ns = max(MIN_TIMEOUT_NS, round(TIMEOUT_FACTOR * expected))
         else:
-            span = max(ACCEPT_LEAST_NS, round(ACCEPT_TIMES * self.accept.value))
-        return span if now + span < task.deadline_ns - ANSWER_MARGIN_NS else None
+            timeout_ns = max(MIN_ACCEPT_TIMEOUT_NS, round(ACCEPT_TIMEOUT_FACTOR * self.accept_time.value))
+        return timeout_ns if now + timeout_ns < task.deadline_ns - ANSWER_MARGIN_NS else None
 
-    def started(self, now: int, task: Task, attempt: Attempt) -> None:
-        """The task runs: its estimate leaves the sum, and the start is learned from."""
-        if attempt.started is not None:
+    def record_start(self, now: int, task: Task, attempt: Attempt) -> None:
+        """Take a task that runs now out of the machine's start queue, and update the means with its start."""
+        if attempt.started_ns is not None:
             return
-        attempt.started = now
+        attempt.started_ns = now
         attempt.machine.start_queue.pop(task.asked.task, None)
         if not attempt.is_current():
             return
-        klass, pace = task.klass, self.slowness(now, attempt.machine)
-        own = max(0.0, now - attempt.sent_ns - self.line_share.value * attempt.line_ns)
-        border = (self.warm[klass].value * self.cold[klass].value) ** 0.5
-        unknown = attempt.depth is not None or attempt.level is not None
-        was_cold = not attempt.held and (own / pace > border if unknown else True)
-        (self.cold if was_cold else self.warm)[klass].add(own / pace)
+        klass, slowdown = task.klass, self.compute_slowdown(now, attempt.machine)
+        start_ns = max(0.0, now - attempt.sent_ns - self.queue_delay_share.value * attempt.queue_delay_ns)
+        threshold = (self.warm_start[klass].value * self.cold_start[klass].value) ** 0.5
+        may_be_warm = attempt.cache_depth is not None or attempt.tier is not None
+        was_cold = not attempt.was_active and (start_ns / slowdown > threshold if may_be_warm else True)
+        (self.cold_start if was_cold else self.warm_start)[klass].add(start_ns / slowdown)
         self.warmth.learn(attempt, not was_cold)
-        expected = (self.cold if was_cold else self.warm)[klass].value
-        if attempt.line_ns:
-            self.line_share.add(min(1.0, max(0.0, (now - attempt.sent_ns - expected) / attempt.line_ns)))
+        expected = (self.cold_start if was_cold else self.warm_start)[klass].value
+        if attempt.queue_delay_ns:
+            self.queue_delay_share.add(
+                min(1.0, max(0.0, (now - attempt.sent_ns - expected) / attempt.queue_delay_ns))
+            )
--- a/ladderhub/decide/picking.py
+++ b/ladderhub/decide/picking.py
@@ -1,21 +1,21 @@
-"""The pick of a machine for a task."""
+"""Selection of a machine for a task."""
 
 import random
 from collections.abc import Iterable
 
 from ladderhub.decide.accounts import Ledger
-from ladderhub.decide.estimates import EASY, Estimates
+from ladderhub.decide.estimates import UNCROWDED_FILL, Estimates
 from ladderhub.decide.fleet import Fleet
-from ladderhub.decide.records import MS, Machine, Task, place_of
+from ladderhub.decide.records import MS, Machine, Task, get_domain
 from ladderhub.decide.rules import Rules
 from ladderhub.interface import Settings
 
-NEAR_SHARE, NEAR_NS = 0.1, 30 * MS  # sums this close are equal: estimates are no better than this
-Weighed = tuple[float, float, Machine]  # sum, fill
+TIE_SHARE, TIE_NS = 0.1, 30 * MS  # totals this close count as equal: the estimates are no more precise
+Candidate = tuple[float, float, Machine]  # total in ns, fill, machine
 
 
-class Picking:
-    """The design's rule: of the machines not struck out, the lowest estimated time to start."""
+class MachinePicker:
+    """Picks, among the machines that the rules allow, the one with the lowest estimated time to start."""
 
     def __init__(
         self, settings: Settings, seed: int, fleet: Fleet, ledger: Ledger, rules: Rules, estimates: Estimates
@@ -25,56 +25,77 @@
 
     def pick(self, now: int, task: Task) -> Machine | None:
         settings, service = self.settings, task.asked.service
-        homes, serving = self.fleet.homes_of(task), self.fleet.serving(settings.classes[task.klass].kind)
+        preferred, serving = (
+            self.fleet.get_preferred(task),
+            self.fleet.get_serving(settings.classes[task.klass].kind),
+        )
         warm = (
             each
             for each in serving
-            if service in each.active_services or service in each.kept or each.id in homes
+            if service in each.active_services or service in each.cached_services or each.id in preferred
         )
-        known = {each.id: each for each in warm}
-        near: list[Weighed] = []
-        band = self._weigh(now, task, known.values(), float("inf"), near)
-        # Elsewhere a start takes a cold one's time at least: no need to look where a better one is known.
-        if self.estimates.cold[task.klass].value <= band:
-            band = self._weigh(now, task, (each for each in serving if each.id not in known), band, near)
-        near = [each for each in near if each[0] <= band]
+        warm_by_id = {each.id: each for each in warm}
+        ties: list[Candidate] = []
+        limit = self._collect_ties(now, task, warm_by_id.values(), float("inf"), ties)
+        # On all other machines a start takes at least a cold start: skip them if a faster one was found.
+        if self.estimates.cold_start[task.klass].value <= limit:
+            limit = self._collect_ties(
+                now, task, (each for each in serving if each.id not in warm_by_id), limit, ties
+            )
+        ties = [each for each in ties if each[0] <= limit]
         if settings.price_cross_zone > 0:
-            near = [each for each in near if each[2].zone == settings.zone] or near
-        if not near:
+            ties = [each for each in ties if each[2].zone == settings.zone] or ties
+        if not ties:
             return None
-        fill = (max if settings.price_machines_in_use > 0 else min)(each[1] for each in near)
-        return self._random.choice([each[2] for each in near if each[1] == fill])
+        fill = (max if settings.price_machines_in_use > 0 else min)(each[1] for each in ties)
+        return self._random.choice([each[2] for each in ties if each[1] == fill])
 
-    def _weigh(
-        self, now: int, task: Task, machines: Iterable[Machine], band: float, near: list[Weighed]
+    def _collect_ties(
+        self, now: int, task: Task, machines: Iterable[Machine], limit: float, ties: list[Candidate]
     ) -> float:
-        """Add sum, fill and machine to `near` where the rules allow it and the sum is within the band above
-        the lowest so far; give the band.  Done for each machine at each look, so each line is dear."""
+        """Add to `ties` each machine that the rules allow and whose total is near the lowest so far; return
+        the highest total that still counts as near.  The loop runs for every machine on every pick, so it has
+        to be fast."""
         klass, asked, use = self.settings.classes[task.klass], task.asked, self.ledger.class_use[task.klass]
         ledger, rules, estimates = self.ledger, self.rules, self.estimates
-        homes, full, service = self.fleet.homes_of(task), rules.full_places(task), asked.service
+        preferred, full, service = self.fleet.get_preferred(task), rules.get_full_domains(task), asked.service
         need = (use[0].value * asked.cores, use[1].value * asked.memory)
-        cold, share, fresh_ns = estimates.cold[task.klass].value, estimates.line_share.value, rules.fresh_ns
+        cold, share, fresh_span_ns = (
+            estimates.cold_start[task.klass].value,
+            estimates.queue_delay_share.value,
+            rules.fresh_span_ns,
+        )
         for machine in machines:
-            if machine.id in task.struck or (machine.rests and machine.rests_from(now, task.what)):
+            if machine.id in task.excluded or (
+                machine.backoffs and machine.is_backing_off(now, task.class_and_tenant)
+            ):
                 continue
-            # The rules as `may_send` has them, and room.
-            if full and place_of(machine, klass.spread) in full:
+            # The same rules as in `may_send`, and the room on the machine.
+            if full and get_domain(machine, klass.spread) in full:
                 continue
-            fresh = machine.ready_ns and now <= machine.ready_ns + fresh_ns
-            if (fresh and not rules.cold_ok(now, machine)) or not ledger.fits(task, machine):
+            fresh = machine.ready_ns and now <= machine.ready_ns + fresh_span_ns
+            if (fresh and not rules.is_within_cold_budget(now, machine)) or not ledger.has_room(
+                task, machine
+            ):
                 continue
-            if task.maybe_ran is not None and not rules.may_repeat(now, task, machine):
+            if task.first_possible_run is not None and not rules.may_repeat(now, task, machine):
                 continue
-            fill = ledger.fill(now, need, klass.calm_level, machine) if self.settings.kinds else 0.0
-            total = share * estimates.line(now, machine) if machine.start_queue else 0.0
-            if fill > EASY:
-                total += estimates.crowding(fill, task)
-            own = (
-                fresh or service in machine.active_services or service in machine.kept or machine.id in homes
+            fill = ledger.compute_fill(now, need, klass.calm_level, machine) if self.settings.kinds else 0.0
+            total = share * estimates.estimate_queue_delay(now, machine) if machine.start_queue else 0.0
+            if fill > UNCROWDED_FILL:
+                total += estimates.estimate_crowding_delay(fill, task)
+            needs_estimate = (
+                fresh
+                or service in machine.active_services
+                or service in machine.cached_services
+                or machine.id in preferred
+            )
+            total += (
+                estimates.estimate_start(now, task, machine, preferred.get(machine.id))
+                if needs_estimate
+                else cold
             )
-            total += estimates.own_figure(now, task, machine, homes.get(machine.id)) if own else cold
-            if total <= band:
-                near.append((total, fill, machine))
-                band = min(band, total * (1 + NEAR_SHARE) + NEAR_NS)
-        return band
+            if total <= limit:
+                ties.append((total, fill, machine))
+                limit = min(limit, total * (1 + TIE_SHARE) + TIE_NS)
+        return limit
--- a/tests/decide/test_changes.py
+++ b/tests/decide/test_changes.py
@@ -134,9 +134,9 @@
     bed = Bed(settings(), machines=1)
     bed.place(1, service="a")
     bed.ask(2, cores=40.0)  # more than the machine admits
-    before = bed.scheduler.fleet.machines["m0"].requested.own, bed.scheduler.estimates.warm[0].value
+    before = bed.scheduler.fleet.machines["m0"].requested.own, bed.scheduler.estimates.warm_start[0].value
     bed.feed(SettingsChanged(settings(CLASS, NEW, admit_cores=4.0)))
-    after = bed.scheduler.fleet.machines["m0"].requested.own, bed.scheduler.estimates.warm[0].value
+    after = bed.scheduler.fleet.machines["m0"].requested.own, bed.scheduler.estimates.warm_start[0].value
     assert before == after and "a" in bed.scheduler.fleet.machines["m0"].active_services
     assert [each.task for each in sends(bed.wait(20 * MS))] == [2]
     assert bed.sent(bed.ask(3, klass=1)).machine == "m0"
--- a/tests/decide/test_decisions.py
+++ b/tests/decide/test_decisions.py
@@ -25,7 +25,7 @@
     Tell,
     Topic,
 )
-from ladderhub.decide.picking import NEAR_NS, NEAR_SHARE
+from ladderhub.decide.picking import TIE_NS, TIE_SHARE
 from tests.helpers import CLASS, MS, Bed, S, count_calls, settings
 
 
@@ -65,11 +65,11 @@
     for task in range(30):
         run(bed, task, bed.sent(bed.ask(task, service=f"s{task}")).machine, 3 * S)
         bed.wait(10 * S)
-    assert bed.scheduler.warmth.homes[0].value < 0.3
+    assert bed.scheduler.warmth.by_tier[0].value < 0.3
 
 
 def test_one_scheduler_alone_believes_in_no_home() -> None:
-    assert Bed(settings()).scheduler.warmth.homes[0].value == 0
+    assert Bed(settings()).scheduler.warmth.by_tier[0].value == 0
 
 
 def test_followers_start_where_the_first_one_is_starting() -> None:
@@ -192,7 +192,7 @@
         good = iter(range(100 * task, 100 * task + 50))
         while bed.place(each := next(good), service=f"good-{each}") != first:
             pass
-    rested = {machine.id for machine in bed.scheduler.fleet.machines.values() if machine.rests}
+    rested = {machine.id for machine in bed.scheduler.fleet.machines.values() if machine.backoffs}
     assert rested == set()
 
 
@@ -216,19 +216,19 @@
     asked = module.tasks[100]
     assert asked.attempt is not None
     module._release(bed.now, asked, asked.attempt)
-    asked.attempt, asked.sent = None, 0
+    asked.attempt, asked.sent_count = None, 0
     use = module.ledger.class_use[0]
     need = (use[0].value * 0.5, use[1].value * 0.5)
-    homes = module.fleet.homes_of(asked)
+    homes = module.fleet.get_preferred(asked)
     sums = []
     for machine in module.fleet.machines.values():
-        if module.rules.may_send(bed.now, asked, machine) and module.ledger.fits(asked, machine):
-            fill = module.ledger.fill(bed.now, need, klass.calm_level, machine)
-            total = estimates.line_share.value * estimates.line(bed.now, machine)
-            total += estimates.crowding(fill, asked)
-            total += estimates.own_figure(bed.now, asked, machine, homes.get(machine.id))
+        if module.rules.may_send(bed.now, asked, machine) and module.ledger.has_room(asked, machine):
+            fill = module.ledger.compute_fill(bed.now, need, klass.calm_level, machine)
+            total = estimates.queue_delay_share.value * estimates.estimate_queue_delay(bed.now, machine)
+            total += estimates.estimate_crowding_delay(fill, asked)
+            total += estimates.estimate_start(bed.now, asked, machine, homes.get(machine.id))
             sums.append((total, fill, machine.id))
-    band = min(sums)[0] * (1 + NEAR_SHARE) + NEAR_NS
+    band = min(sums)[0] * (1 + TIE_SHARE) + TIE_NS
     near = [(fill, name) for total, fill, name in sums if total <= band]
     assert len(near) > 1
     assert sent.machine in {name for fill, name in near if fill == min(near)[0]}
@@ -255,12 +255,12 @@
     # Guards against homes that are remembered past the list they follow from.
     bed = Bed(settings(schedulers=16), machines=40)
     bed.ask(1, service="web")
-    first = dict(bed.scheduler.fleet.homes_of(bed.scheduler.tasks[1]))
+    first = dict(bed.scheduler.fleet.get_preferred(bed.scheduler.tasks[1]))
     home = next(iter(first))
     bed.listed(ListKind.CHANGES, MachineEntry(home, Stage.DRAINING))
-    assert home not in bed.scheduler.fleet.homes_of(bed.scheduler.tasks[1])
+    assert home not in bed.scheduler.fleet.get_preferred(bed.scheduler.tasks[1])
     bed.listed(ListKind.CHANGES, *bed.entries)
-    assert bed.scheduler.fleet.homes_of(bed.scheduler.tasks[1]) == first
+    assert bed.scheduler.fleet.get_preferred(bed.scheduler.tasks[1]) == first
 
 
 def test_rests_double_until_something_is_placed() -> None:
@@ -313,8 +313,8 @@
     scheduler = bed.scheduler
     machine = scheduler.fleet.machines["m39"]
     assert len(scheduler.fleet.machines) < 10
-    assert not scheduler.rules.spread and not scheduler.tasks and not scheduler.waiting_tasks
-    assert len(machine.sends) <= 1 and len(machine.kept) <= 16
+    assert not scheduler.rules.spread_counts and not scheduler.tasks and not scheduler.waiting_tasks
+    assert len(machine.offer_times) <= 1 and len(machine.cached_services) <= 16
     bed.place(1)
     bed.wait(S)
     bed.place(2)
--- a/tests/decide/test_leaving.py
+++ b/tests/decide/test_leaving.py
@@ -125,7 +125,7 @@
             if isinstance(action, Send):
                 # A dial lies between, and at first the machines are slow to take one.
                 delay = (900 if self.now < 100 * S + 500 * MS else self.random.choice((0, 5, 200))) * MS
-                attempt = self.alive[at].tasks[action.task].sent - 1
+                attempt = self.alive[at].tasks[action.task].sent_count - 1
                 self.leaving.append((self.now + delay, at, action, attempt))
 
     def step(self) -> None:
--- a/tests/decide/test_waiting.py
+++ b/tests/decide/test_waiting.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ladderhub.decide.scheduler import HOLD_STEP_NS
+from ladderhub.decide.scheduler import SWEEP_INTERVAL_NS
 from ladderhub.interface import Effect, Send, Stage, TaskClass
 from tests.helpers import CLASS, Bed, S, settings
 
@@ -26,7 +26,7 @@
 
 def sent_in(bed: Bed) -> list[int]:
     """The tasks sent in the next look at those that wait."""
-    return [action.task for action in bed.wait(HOLD_STEP_NS) if isinstance(action, Send)]
+    return [action.task for action in bed.wait(SWEEP_INTERVAL_NS) if isinstance(action, Send)]
 
 
 def test_one_look_at_waiting_tasks_places_a_bounded_number_and_the_next_ones_the_rest() -> None:
@@ -58,7 +58,7 @@
     for task in range(stuck):
         bed.ask(task, cores=0.1, memory=0.1, service=f"svc-{task}")
     for held in bed.scheduler.waiting_tasks.values():
-        held.struck |= set(machines)
+        held.excluded |= set(machines)
     bed.ask(stuck, cores=0.1, memory=0.1)
     bed.change("m0", stage=Stage.SERVING)
     sweeps = [sent_in(bed) for _ in range(stuck // LOOKS_MOST + 1)]
@@ -67,4 +67,4 @@
 
 def test_a_look_weighs_no_more_machines_in_a_large_fleet() -> None:
     for machines, most in ((40, 16_384 // 40), (1024, 16), (3200, 8)):
-        assert Bed(settings(), machines=machines).scheduler.waiting.looks_most() == most
+        assert Bed(settings(), machines=machines).scheduler.wait_queue.get_max_picks() == most
