--- a/benchmarks/rows.py
+++ b/benchmarks/rows.py
@@ -65,7 +65,7 @@
     voter = LeaseVoter(settings, 0)
     for at in range(count):
         request = LeaseRequest(1, encode_slots({at}, 4096), f"10.0.{at // 250}.{at % 250}:1", False)
-        voter.request(20 * S, (f"scheduler-{at}", 10**18 + at), request)
+        voter.handle_request(20 * S, (f"scheduler-{at}", 10**18 + at), request)
     return voter
 
 
--- a/ladderhub/lab/emulator/day.py
+++ b/ladderhub/lab/emulator/day.py
@@ -65,7 +65,7 @@
         if step.what == "start":
             if who not in fleet.hosts:
                 last = next(host for host in reversed(fleet.every) if host.at == who)
-                fleet.start(who, tuple(last.view.addresses()))
+                fleet.start(who, tuple(last.view.get_peer_addresses()))
         elif step.what == "kill":
             if who in fleet.hosts:
                 fleet.kill(who)
--- a/ladderhub/lab/scale/hollow_schedulers.py
+++ b/ladderhub/lab/scale/hollow_schedulers.py
@@ -214,7 +214,7 @@
             count=len(self.members),
             seconds=(now - self._begun_ns) / 1e9,
             members_seen=MembersSeen(min(seen), sum(seen) / len(seen), max(seen)),
-            leases_held=sum(len(member.leases.held(now)) for member in self.members),
+            leases_held=sum(len(member.leases.get_held_slots(now)) for member in self.members),
             revision_least=min((member.follower.active for member in self.members), default=0),
             datagrams_unsent=sum(member.carrier.datagrams.unsent for member in self.members),
             troubles=sum(member.troubles for member in self.members),
--- a/ladderhub/membership/leases.py
+++ b/ladderhub/membership/leases.py
@@ -82,13 +82,13 @@
 
     # --- what may be used -------------------------------------------------------------------------------
 
-    def held(self, now: int) -> list[int]:
+    def get_held_slots(self, now: int) -> list[int]:
         """Slots with a majority now, used or not."""
         return sorted(slot for slot, expires in self._expires_ns.items() if expires > now)
 
-    def usable(self, now: int) -> LeasesHeld:
+    def get_usable_leases(self, now: int) -> LeasesHeld:
         """Slots that may be used, and until when all of them may."""
-        slots = tuple(slot for slot in self.held(now) if self._is_usable(now, slot))
+        slots = tuple(slot for slot in self.get_held_slots(now) if self._is_usable(now, slot))
         return LeasesHeld(slots, min((self._expires_ns[slot] for slot in slots), default=-1))
 
     def _is_usable(self, now: int, slot: int) -> bool:
@@ -97,7 +97,7 @@
         return rested and requested_ns >= self._trusted_from_ns
 
     def _publish(self, now: int) -> None:
-        usable = self.usable(now)
+        usable = self.get_usable_leases(now)
         if usable != self._published:
             self._published = usable
             self._actions.append(usable)
@@ -168,7 +168,7 @@
         request = LeaseRequest(self._number, encoded, self.settings.address, lacking)
         self._send_to_voters(request)
         if self.voter is not None:
-            grant = self.voter.request(now, self._self_id, request)
+            grant = self.voter.handle_request(now, self._self_id, request)
             if grant is not None:
                 self._on_grant(now, grant)
 
@@ -186,7 +186,7 @@
             self._actions.append(self._published)  # before others may have them
         release = LeaseRelease(self._number, encode_slots(slots, self.settings.slots))
         if self.voter is not None:
-            self.voter.release(self._self_id, release)
+            self.voter.handle_release(self._self_id, release)
         self._send_to_voters(release)
 
     def _send_to_voters(self, message: LeaseRequest | LeaseRelease) -> None:
@@ -202,11 +202,11 @@
             self._on_grant(now, message)
             self._publish(now)
         elif self.voter is not None and isinstance(message, LeaseRequest):
-            grant = self.voter.request(now, sender, message)
+            grant = self.voter.handle_request(now, sender, message)
             if grant is not None:
                 self._actions.append(SendMessage(message.address, grant))
         elif self.voter is not None and isinstance(message, LeaseRelease):
-            self.voter.release(sender, message)
+            self.voter.handle_release(sender, message)
 
     def _on_grant(self, now: int, grant: LeaseGrant) -> None:
         """A vote in one of our rounds.  Only votes of one round make a majority: they have one start."""
--- a/ladderhub/membership/view.py
+++ b/ladderhub/membership/view.py
@@ -98,7 +98,7 @@
         """The living members, ourselves among them; suspected ones too."""
         return self.context.table.members()
 
-    def suspected(self) -> list[str]:
+    def get_suspected_names(self) -> list[str]:
         """Names of the members that we monitor and suspect."""
         monitored = self.prober.detector.monitored
         return sorted(name for (name, _), subject in monitored.items() if subject.suspected)
@@ -108,7 +108,7 @@
         entry = self.context.table.get((name, life))
         return entry.address if entry is not None else None
 
-    def addresses(self) -> list[str]:
+    def get_peer_addresses(self) -> list[str]:
         """Of all other members: worth keeping for a next life."""
         return sorted(map(self.context.address_of, self.context.other_members()))
 
--- a/ladderhub/membership/voter.py
+++ b/ladderhub/membership/voter.py
@@ -35,7 +35,7 @@
         grant = self._grants.get(slot)
         return grant is None or grant.holder == holder or grant.expires_ns <= now
 
-    def request(self, now: int, holder: MemberId, request: LeaseRequest) -> LeaseGrant | None:
+    def handle_request(self, now: int, holder: MemberId, request: LeaseRequest) -> LeaseGrant | None:
         """Grant what is free or the holder's own; no answer while this voter is new."""
         if now < self._silent_until_ns:
             return None
@@ -57,7 +57,7 @@
             number = max(number, before.number)
         self._grants[slot] = _Grant(holder, now + self.settings.lease_ns, number)
 
-    def release(self, holder: MemberId, release: LeaseRelease) -> None:
+    def handle_release(self, holder: MemberId, release: LeaseRelease) -> None:
         """Free what the holder gives up, unless it has requested it again since."""
         for slot in decode_slots(release.slots, self.settings.slots):
             grant = self._grants.get(slot)
--- a/ladderhub/peers/carrier.py
+++ b/ladderhub/peers/carrier.py
@@ -67,7 +67,7 @@
         self.on_tick: Callable[[], None] | None = None
         self.on_members: Callable[[], None] | None = None  # after the view has changed
         self.tell_revisions: TellRevisions | None = None
-        self.current_head: Callable[[], Head] | None = None  # rides on every frame
+        self.get_head: Callable[[], Head] | None = None  # rides on every frame
         self._members_changed = False
         self._tick_timer: Timer | None = None
         self._parsed_addresses: dict[str, Address] = {}
@@ -125,7 +125,7 @@
         elif isinstance(action, WakeAt):
             if self._tick_timer is not None:
                 self._tick_timer.cancel()
-            self._tick_timer = self.loop.call_at(action.at_ns, self.when_read, self._tick)
+            self._tick_timer = self.loop.call_at(action.at_ns, self.call_when_read, self._tick)
         elif isinstance(action, LeasesHeld):
             if self.on_leases is not None:
                 self.on_leases(action)
@@ -133,7 +133,7 @@
             self._members_changed = True
             self._on_change(action)
 
-    def when_read(self, call: Callable[[], None]) -> None:
+    def call_when_read(self, call: Callable[[], None]) -> None:
         """Call once the datagrams that have come by now were heard: peers are judged by what they answered,
         not by when this process got round to it."""
         self.loop.call_when_read(self.datagrams.sock.fileno(), self._if_open, call)
@@ -155,7 +155,7 @@
 
     def send(self, address: str, message: Message | RevisionMessage) -> None:
         """Send one message in a frame of ours; it may be lost."""
-        sender, head = self.view.self_entry, self.current_head() if self.current_head is not None else None
+        sender, head = self.view.self_entry, self.get_head() if self.get_head is not None else None
         frame = Frame(
             VERSION, self._cluster_tag, sender.name, sender.life, sender.incarnation, message, head
         )  # fmt: skip
--- a/ladderhub/peers/revisions.py
+++ b/ladderhub/peers/revisions.py
@@ -63,7 +63,7 @@
         self._tell = tell
         peers, loop = self._peers, self._peers.loop
         peers.tell_revisions = self._on_event
-        peers.current_head = lambda: self._revisions.head(loop.now_ns())
+        peers.get_head = lambda: self._revisions.head(loop.now_ns())
         peers.on_members = self._on_members
         self._on_members()
         tell(Tick())
@@ -84,7 +84,7 @@
         if isinstance(action, WakeAt):
             if self._tick_timer is not None:
                 self._tick_timer.cancel()
-            self._tick_timer = self._peers.loop.call_at(action.at_ns, self._peers.when_read, self._tick)
+            self._tick_timer = self._peers.loop.call_at(action.at_ns, self._peers.call_when_read, self._tick)
         elif isinstance(action, Store):
             self._unkept = action.record
             self._store()
@@ -140,7 +140,7 @@
         for timer in (self._tick_timer, self._store_timer):
             if timer is not None:
                 timer.cancel()
-        self._peers.tell_revisions = self._peers.current_head = self._peers.on_members = None
+        self._peers.tell_revisions = self._peers.get_head = self._peers.on_members = None
 
 
 def _not_joined(event: Event) -> None:
--- a/ladderhub/server/peers.py
+++ b/ladderhub/server/peers.py
@@ -84,7 +84,7 @@
     def _add_gauges(self) -> None:
         gauge = self._site.metrics.gauge
         gauge("members", "Schedulers in the view, this one among them", lambda: len(self.view.members()))
-        gauge("members_suspected", "Of those it watches", lambda: len(self.view.suspected()))
+        gauge("members_suspected", "Of those it watches", lambda: len(self.view.get_suspected_names()))
         gauge("membership_sure", "1 while peers confirm the view", lambda: float(self.is_confirmed()))
         gauge("peer_datagrams_spoilt", "Datagrams that were no message", self._spoilt_total)
         gauge("peer_datagrams_unsent", "Datagrams that the system did not take", self._unsent_total)
@@ -123,7 +123,7 @@
 
     def status_rows(self) -> list[Attr]:
         """Rows of the server's status."""
-        suspected = set(self.view.suspected())
+        suspected = set(self.view.get_suspected_names())
         shown = [f"{name} (suspected)" if name in suspected else name for name in self.member_names()]
         return [Attr("members", ", ".join(shown)), Attr("membership", self._state_word())]
 
@@ -190,7 +190,9 @@
 
     def _usable_slots(self) -> float:
         return (
-            float(len(self.leases.usable(self._site.loop.now_ns()).slots)) if self.leases is not None else 0.0
+            float(len(self.leases.get_usable_leases(self._site.loop.now_ns()).slots))
+            if self.leases is not None
+            else 0.0
         )
 
     def stop(self, now: bool) -> None:
@@ -210,7 +212,7 @@
         """After a restart of the whole fleet the saved addresses are how it finds itself again."""
         if self._closed:
             return
-        peers = self.view.addresses()
+        peers = self.view.get_peer_addresses()
         if peers and peers != self._state_file.peers:
             self._state_file.save(peers)
         self._site.loop.call_later(SAVE_INTERVAL_NS, self._save)
--- a/tests/membership/test_leases.py
+++ b/tests/membership/test_leases.py
@@ -61,8 +61,8 @@
 class NoRest(LeaseHolder):
     """A slot is used as soon as it is held."""
 
-    def usable(self, now: int) -> LeasesHeld:
-        slots = tuple(self.held(now))
+    def get_usable_leases(self, now: int) -> LeasesHeld:
+        slots = tuple(self.get_held_slots(now))
         return LeasesHeld(slots, min((self._expires_ns[slot] for slot in slots), default=-1))
 
 
@@ -103,26 +103,26 @@
     first = None
     for now in range(0, 300):
         alone.handle(now, MembershipSummary(1, 0, True))
-        first = now if first is None and len(alone.usable(now).slots) == 7 else first
+        first = now if first is None and len(alone.get_usable_leases(now).slots) == 7 else first
     assert first is not None and 80 + 10 <= first <= 80 + 10 + 50
     for now in range(300, 400):
         alone.handle(now, MembershipSummary(3, 1, True))
-    assert len(alone.usable(399).slots) == 3
+    assert len(alone.get_usable_leases(399).slots) == 3
     assert any(isinstance(each, LeasesHeld) and not each.slots for each in alone.handle(400, Stop()))
-    assert alone.usable(400).slots == ()
+    assert alone.get_usable_leases(400).slots == ()
 
 
 def test_while_the_view_is_unsure_no_slot_is_used_and_after_it_only_what_was_granted_since() -> None:
     alone = holder()
     for now in range(0, 200):
         alone.handle(now, MembershipSummary(1, 0, True))
-    assert alone.usable(199).slots
+    assert alone.get_usable_leases(199).slots
     out = alone.handle(200, MembershipSummary(1, 0, False))
-    assert LeasesHeld((), -1) in out and alone.usable(200).slots == ()
+    assert LeasesHeld((), -1) in out and alone.get_usable_leases(200).slots == ()
     alone.handle(201, MembershipSummary(1, 0, True))
     for now in range(202, 240):
         alone.handle(now, MembershipSummary(1, 0, True))
-    assert len(alone.usable(239).slots) == 7
+    assert len(alone.get_usable_leases(239).slots) == 7
 
 
 def test_no_answer_of_voters_means_no_slot() -> None:
@@ -131,7 +131,7 @@
         cut.handle(now, MembershipSummary(1, 0, True))
     one = LeaseGrant(cut._number, encode_slots({1}, 7), encode_slots(set(range(7)), 7), "b:1")
     cut.handle(500, MessageReceived("b", 1, 0, one))
-    assert cut.usable(500).slots == () and cut.held(500) == []
+    assert cut.get_usable_leases(500).slots == () and cut.get_held_slots(500) == []
 
 
 def test_slots_and_their_encoding_are_one_to_one() -> None:
@@ -165,5 +165,7 @@
 
 def test_a_voter_is_silent_for_a_lease_after_its_start() -> None:
     voter = LeaseVoter(LeaseSettings("a", 1, "a:1", 3, ("a:1",), 80, 10), 1000)
-    assert voter.request(1079, ("b", 1), LeaseRequest(1, encode_slots({0}, 3), "b:1", True)) is None
-    assert voter.request(1080, ("b", 1), LeaseRequest(1, encode_slots({0}, 3), "b:1", True)) is not None
+    assert voter.handle_request(1079, ("b", 1), LeaseRequest(1, encode_slots({0}, 3), "b:1", True)) is None
+    assert (
+        voter.handle_request(1080, ("b", 1), LeaseRequest(1, encode_slots({0}, 3), "b:1", True)) is not None
+    )
--- a/tests/peers/test_peer_service.py
+++ b/tests/peers/test_peer_service.py
@@ -65,14 +65,20 @@
     assert "ladderhub_members 2.0" in page and "ladderhub_membership_sure 1.0" in page
     # Each holds its half once the voter has been silent for a lease, and the module goes by that.
     leases = (one.leases, two.leases)
-    world.until(lambda: all(each and len(each.usable(world.loop.now_ns()).slots) == 1 for each in leases), 30)
-    held = [each.usable(world.loop.now_ns()).slots for each in leases if each is not None]
+    world.until(
+        lambda: all(each and len(each.get_usable_leases(world.loop.now_ns()).slots) == 1 for each in leases),
+        30,
+    )
+    held = [each.get_usable_leases(world.loop.now_ns()).slots for each in leases if each is not None]
     assert sorted(slot for slots in held for slot in slots) == [0, 1]
     world.until(lambda: daemon.module.rules.ordinals == held[1])
     daemon.close()
     world.daemons.pop("beta")
     world.until(lambda: names(one) == ["alpha"])  # it took its leave: no wait for silence
-    world.until(lambda: one.leases is not None and len(one.leases.usable(world.loop.now_ns()).slots) == 2, 30)
+    world.until(
+        lambda: one.leases is not None and len(one.leases.get_usable_leases(world.loop.now_ns()).slots) == 2,
+        30,
+    )
 
 
 def test_what_comes_spoilt_is_counted_and_told_and_harms_nothing(world: World) -> None:
@@ -127,7 +133,7 @@
     daemon, service = start(world, "alpha", address, [address], electors=[address], lease="1200ms")
     leases = service.leases
     assert leases is not None and daemon.module.rules.lent_until_ns == -1
-    world.until(lambda: len(leases.usable(world.loop.now_ns()).slots) == 2, 30)
+    world.until(lambda: len(leases.get_usable_leases(world.loop.now_ns()).slots) == 2, 30)
     service.view.confirmed = False
     world.until(lambda: daemon.module.rules.ordinals == ())
 
