--- a/ladderhub/lab/checker/ballot_processes.py
+++ b/ladderhub/lab/checker/ballot_processes.py
@@ -9,7 +9,7 @@
 
 from msgspec.structs import replace
 
-from ladderhub.revision.ballots import Decision
+from ladderhub.revision.ballots import PaxosInstance
 from ladderhub.revision.content import body_digest
 from ladderhub.revision.context import Context
 from ladderhub.revision.ledger import Ledger
@@ -30,7 +30,7 @@
 
     ledger: type[Ledger] = Ledger
     voter: type[Voter] = Voter
-    decision: type[Decision] = Decision
+    decision: type[PaxosInstance] = PaxosInstance
 
 
 @dataclass(frozen=True)
@@ -61,16 +61,16 @@
         self.context = Context(RevisionSettings(address, life, address, VOTERS, b""), life)
         self.ledger = parts.ledger(self.context, None)
         self._rounds = 0  # begun in this life
-        self.decision: Decision | None = self._next()
+        self.decision: PaxosInstance | None = self._next()
 
-    def _next(self) -> Decision | None:
-        number = self.ledger.number + 1
+    def _next(self) -> PaxosInstance | None:
+        number = self.ledger.head_number + 1
         if number > self.bounds.numbers:
             return None
         name = self.context.settings.name
         own = Header(
             number,
-            self.ledger.digest,
+            self.ledger.head_digest,
             name,
             0,
             f"change {number}, life {self.life}",
@@ -88,7 +88,7 @@
         self.decision._ballot = None
         self.begun += 1
         self._rounds += 1
-        self.decision.round = max(self.decision.round, self._rounds)
+        self.decision.next_round = max(self.decision.next_round, self._rounds)
         self.decision.tick(LATE)
 
     def receive(self, message: Any) -> None:
@@ -106,12 +106,12 @@
             decision.on_accepted(message)
         elif isinstance(message, Rejected):
             decision.on_rejected(0, message)
-        if decision is not None and decision.chosen is not None and self.ledger.follows(decision.chosen):
-            self.ledger.choose(decision.chosen)
+        if decision is not None and decision.chosen is not None and self.ledger.extends_head(decision.chosen):
+            self.ledger.record_chosen(decision.chosen)
             self.decision = self._next()
             if self.decision is not None:  # nothing is asked for after the last number
                 for address in PROCESSES:
-                    self.context.send(address, Headers(self.ledger.first, tuple(self.ledger.headers)))
+                    self.context.send(address, Headers(self.ledger.first_number, tuple(self.ledger.headers)))
 
     def key(self) -> Hashable:
         """All that its further steps rest on."""
@@ -120,8 +120,9 @@
             return self.life, self.begun, self._rounds, tuple(self.ledger.headers)
         promises = tuple(sorted(decision._promises.items())) if decision._value is None else ()
         return (
-            self.life, self.begun, self._rounds, tuple(self.ledger.headers), decision.number, decision.round,
-            decision._ballot, promises, decision._value, frozenset(decision._accepted), decision.chosen,
+            self.life, self.begun, self._rounds, tuple(self.ledger.headers), decision.number,
+            decision.next_round, decision._ballot, promises, decision._value,
+            frozenset(decision._accepted_by), decision.chosen,
         )  # fmt: skip
 
     def copied(self) -> Proposing:
@@ -134,8 +135,8 @@
             other.decision = copy.copy(self.decision)
             other.decision._context = other.context
             other.decision._promises = dict(self.decision._promises)
-            other.decision._accepted = set(self.decision._accepted)
-            other.decision.answered = set()
+            other.decision._accepted_by = set(self.decision._accepted_by)
+            other.decision.answered_by = set()
         return other
 
     def rename(self, names: dict[str, str]) -> None:
@@ -144,4 +145,4 @@
         if decision is not None:
             promises = decision._promises.items()
             decision._promises = {names[voter]: replace(told, voter=names[voter]) for voter, told in promises}
-            decision._accepted = {names[voter] for voter in decision._accepted}
+            decision._accepted_by = {names[voter] for voter in decision._accepted_by}
--- a/ladderhub/lab/checker/ballots.py
+++ b/ladderhub/lab/checker/ballots.py
@@ -141,7 +141,7 @@
             steps[self._keep(at, VoterState(disk, disk)), self._number(sent)] = None
         ledger.store()
         disk = next((each.record for each in context.actions[::-1] if isinstance(each, Store)), state.disk)
-        steps[self._keep(at, VoterState(ledger._record(), disk)), self._number(sent)] = None
+        steps[self._keep(at, VoterState(ledger._build_record(), disk)), self._number(sent)] = None
         return tuple(steps)
 
     def _proposer_step(self, at: int, process: Proposing, step: Callable[[Proposing], None]) -> _Step:
--- a/ladderhub/lab/emulator/revision_judge.py
+++ b/ladderhub/lab/emulator/revision_judge.py
@@ -51,13 +51,13 @@
             self.broken.append(f"{name} acted by {numbers[-2:]} in one life")
 
     def answered(self, answer: Answer) -> None:
-        if answer.request in self.outcomes:
-            self.broken.append(f"request {answer.request} was answered twice")
-        self.outcomes[answer.request] = answer.outcome
+        if answer.request_id in self.outcomes:
+            self.broken.append(f"request {answer.request_id} was answered twice")
+        self.outcomes[answer.request_id] = answer.outcome
         if isinstance(answer.outcome, Applied):
             header = answer.outcome.header
             if self.chosen.get(header.number) != header:
-                self.broken.append(f"request {answer.request} was told applied and was not chosen")
+                self.broken.append(f"request {answer.request_id} was told applied and was not chosen")
 
 
 @dataclass
--- a/ladderhub/lab/emulator/revisions.py
+++ b/ladderhub/lab/emulator/revisions.py
@@ -15,8 +15,8 @@
 from ladderhub.lab.emulator.revision_judge import IN_FORCE_NS, Judge, RevisionVerdict
 from ladderhub.peers.wire import VERSION, Frame, encode
 from ladderhub.revision import (
-    Activate, Answer, Apply, BodyChecked, CheckBody, HeadSeen, Hold, MembersChanged, MessageReceived, Record,
-    Resume, Revisions, RevisionSettings, Send, Store, Tell, Tick, WakeAt, decode_record, encode_record,
+    Activate, Answer, Apply, BodyChecked, CheckBody, HeadSeen, Hold, MembersChanged, MessageReceived, Notify,
+    Record, Resume, Revisions, RevisionSettings, Send, Store, Tick, WakeAt, decode_record, encode_record,
 )  # fmt: skip
 from ladderhub.revision.messages import Head
 from ladderhub.revision.types import Action, Applied, Event
@@ -79,7 +79,7 @@
             self.play.judge.answered(action)
         elif isinstance(action, Hold | Resume):
             self.held = isinstance(action, Hold)
-        elif isinstance(action, Tell):
+        elif isinstance(action, Notify):
             self.play.judge.notices[action.notice] += 1
 
     def _send(self, address: str, content: Any) -> None:
--- a/ladderhub/lab/scale/hollow_schedulers.py
+++ b/ladderhub/lab/scale/hollow_schedulers.py
@@ -98,7 +98,7 @@
     def store(self, record: Record) -> None:
         """Nothing: a hollow scheduler has one life."""
 
-    def check(self, body: bytes) -> str | None:
+    def check_body(self, body: bytes) -> str | None:
         return None
 
     def activate(self, revision: Revision) -> None:
@@ -113,7 +113,7 @@
     def resume(self) -> None:
         """Nothing: it has no jobs."""
 
-    def tell(self, notice: Notice, text: str) -> None:
+    def notify(self, notice: Notice, text: str) -> None:
         """Nothing: it has no log."""
 
 
--- a/ladderhub/peers/revisions.py
+++ b/ladderhub/peers/revisions.py
@@ -9,8 +9,8 @@
 from ladderhub.loop import Timer
 from ladderhub.peers.carrier import PeerCarrier
 from ladderhub.revision import (
-    Activate, Answer, CheckBody, HeadSeen, Hold, MembersChanged, Record, Resume, Revision, Revisions, Send,
-    Store, Tell, Tick, WakeAt,
+    Activate, Answer, CheckBody, HeadSeen, Hold, MembersChanged, Notify, Record, Resume, Revision, Revisions,
+    Send, Store, Tick, WakeAt,
 )  # fmt: skip
 from ladderhub.revision.messages import Head
 from ladderhub.revision.types import Action, BodyChecked, Event, Notice, Outcome
@@ -24,7 +24,7 @@
     def store(self, record: Record) -> None:
         """Keep it in place of the record before, on disk when this returns; OSError where that fails."""
 
-    def check(self, body: bytes) -> str | None:
+    def check_body(self, body: bytes) -> str | None:
         """What keeps this scheduler from acting by the body, or None."""
 
     def activate(self, revision: Revision) -> None:
@@ -39,7 +39,7 @@
     def resume(self) -> None:
         """Decide again."""
 
-    def tell(self, notice: Notice, text: str) -> None:
+    def notify(self, notice: Notice, text: str) -> None:
         """For the log."""
 
 
@@ -124,7 +124,7 @@
             case Send(address, message):
                 self._peers.send(address, message)
             case CheckBody(digest, body):
-                self._tell(BodyChecked(digest, host.check(body)))
+                self._tell(BodyChecked(digest, host.check_body(body)))
             case Activate(revision):
                 host.activate(revision)
             case Answer(request, outcome):
@@ -133,8 +133,8 @@
                 host.hold(reason)
             case Resume():
                 host.resume()
-            case Tell(notice, text):
-                host.tell(notice, text)
+            case Notify(notice, text):
+                host.notify(notice, text)
 
     def close(self) -> None:
         for timer in (self._tick_timer, self._store_timer):
--- a/ladderhub/revision/__init__.py
+++ b/ladderhub/revision/__init__.py
@@ -27,11 +27,11 @@
 from ladderhub.revision.revisions import Revisions
 from ladderhub.revision.types import (
     Activate, Answer, Apply, BodyChecked, CheckBody, HeadSeen, Hold, MembersChanged, MessageReceived, Notice,
-    Record, Resume, Revision, RevisionSettings, Send, Status, Store, Tell, Tick, WakeAt,
+    Notify, Record, Resume, Revision, RevisionSettings, Send, Status, Store, Tick, WakeAt,
 )  # fmt: skip
 
 __all__ = [
     "Activate", "Answer", "Apply", "BodyChecked", "CheckBody", "HeadSeen", "Hold", "MembersChanged",
-    "MessageReceived", "Notice", "Record", "Resume", "Revision", "RevisionSettings", "Revisions", "Send",
-    "Status", "Store", "Tell", "Tick", "WakeAt", "decode_record", "encode_record",
+    "MessageReceived", "Notice", "Notify", "Record", "Resume", "Revision", "RevisionSettings", "Revisions",
+    "Send", "Status", "Store", "Tick", "WakeAt", "decode_record", "encode_record",
 ]  # fmt: skip
--- a/ladderhub/revision/activation.py
+++ b/ladderhub/revision/activation.py
@@ -40,7 +40,7 @@
     def _refuse(self, header: Header, fault: str) -> None:
         if header.number > self._told:
             self._told = header.number
-            self._context.tell(Notice.CANNOT_TAKE, f"revision {header.number}: {fault}")
+            self._context.tell(Notice.CANNOT_ACTIVATE, f"revision {header.number}: {fault}")
         if header == self._ledger.head:
             self.fault = fault
 
--- a/ladderhub/revision/bodies.py
+++ b/ladderhub/revision/bodies.py
@@ -9,7 +9,7 @@
 
 from ladderhub.revision.content import from_pieces, to_pieces
 from ladderhub.revision.context import Context
-from ladderhub.revision.messages import PIECES_ASKED, FetchPieces, Lacking, Piece
+from ladderhub.revision.messages import MAX_PIECES_PER_REQUEST, FetchPieces, Lacking, Piece
 from ladderhub.revision.types import MS
 
 BODIES_KEPT = 32
@@ -70,8 +70,8 @@
         del self.sources[SOURCES_MOST:]
 
     def missing(self) -> tuple[int, ...]:
-        total = self.total or PIECES_ASKED
-        return tuple(at for at in range(total) if at not in self.pieces)[:PIECES_ASKED]
+        total = self.total or MAX_PIECES_PER_REQUEST
+        return tuple(at for at in range(total) if at not in self.pieces)[:MAX_PIECES_PER_REQUEST]
 
 
 class Downloads:
--- a/ladderhub/revision/confirm.py
+++ b/ladderhub/revision/confirm.py
@@ -41,7 +41,7 @@
         self.voters_heard.clear()
         self.anybody_heard = False
         if self.is_voter and self._ledger.votes_from is not None:
-            self.voters_heard[self._context.settings.address] = self._ledger.number
+            self.voters_heard[self._context.settings.address] = self._ledger.head_number
         self.due_ns = now + ROUND_NS
         self.settle()
 
@@ -73,7 +73,7 @@
     def settle(self) -> None:
         """Has a majority answered, and none of it with a newer head than ours is by now?"""
         newest = max(self.voters_heard.values(), default=0)
-        if self.heard_majority() and newest <= self._ledger.number:
+        if self.heard_majority() and newest <= self._ledger.head_number:
             self.confirm(self._begun_ns)
 
     def confirm(self, at_ns: int) -> None:
@@ -83,7 +83,7 @@
     def on_head(self, now: int, head: Head) -> None:
         """A peer says how long ago a majority knew of nothing newer than its head, nor then than ours."""
         ledger = self._ledger
-        if head.age_ms == AGE_UNKNOWN_MS or head.number > ledger.number:
+        if head.age_ms == AGE_UNKNOWN_MS or head.number > ledger.head_number:
             return
         known = ledger.digest_at(head.number)
         if known is None or shorten(known) == head.digest:
@@ -96,7 +96,7 @@
         """What rides on every frame."""
         age = self.age_ns(now)
         age_ms = AGE_UNKNOWN_MS if age is None else min(age // MS, AGE_UNKNOWN_MS - 1)
-        return Head(self._ledger.number, shorten(self._ledger.digest), age_ms)
+        return Head(self._ledger.head_number, shorten(self._ledger.head_digest), age_ms)
 
 
 class CatchUp:
@@ -126,9 +126,9 @@
         if self.reason is None:
             return
         confirmation, spent = self._confirmation, now - self._begun_ns
-        caught_up = settled and self._sync.newest_seen() <= self._ledger.number
+        caught_up = settled and self._sync.newest_seen() <= self._ledger.head_number
         if caught_up and confirmation.heard_majority():
-            self._end(Notice.CAUGHT_UP, f"a majority confirms revision {self._ledger.number}")
+            self._end(Notice.CAUGHT_UP, f"a majority confirms revision {self._ledger.head_number}")
         elif caught_up and confirmation.anybody_heard and spent >= REACH_NS:
             self._end(Notice.BEHIND, self._by_age(now, "no majority of the voters answers"))
         elif spent >= ALONE_NS:
@@ -144,7 +144,7 @@
     def _by_age(self, now: int, why: str) -> str:
         age = self._confirmation.age_ns(now)
         told = "not in this life" if age is None else f"{age / S:.1f} s ago"
-        return f"{why}; revision {self._ledger.number}, last confirmed by a majority: {told}"
+        return f"{why}; revision {self._ledger.head_number}, last confirmed by a majority: {told}"
 
     def _end(self, notice: Notice, text: str) -> None:
         self.reason = None
--- a/ladderhub/revision/content.py
+++ b/ladderhub/revision/content.py
@@ -8,7 +8,8 @@
 import msgspec
 
 from ladderhub.revision.messages import (
-    AUTHOR_BYTES, BODY_MOST, DIGEST_BYTES, PACKED_MOST, PIECE_BYTES, REASON_BYTES, SHORT_BYTES, Header,
+    DIGEST_BYTES, MAX_AUTHOR_BYTES, MAX_BODY_BYTES, MAX_PACKED_BYTES, MAX_REASON_BYTES, PIECE_BYTES,
+    SHORT_DIGEST_BYTES, Header,
 )  # fmt: skip
 
 NO_DIGEST = bytes(DIGEST_BYTES)  # the parent of revision 1
@@ -29,12 +30,12 @@
 
 
 def shorten(digest: bytes) -> bytes:
-    return digest[:SHORT_BYTES]
+    return digest[:SHORT_DIGEST_BYTES]
 
 
 def header_fits(header: Header) -> bool:
     """Texts are bounded in characters on the wire; here in bytes, so that every message with one fits."""
-    return len(header.author.encode()) <= AUTHOR_BYTES and len(header.reason.encode()) <= REASON_BYTES
+    return len(header.author.encode()) <= MAX_AUTHOR_BYTES and len(header.reason.encode()) <= MAX_REASON_BYTES
 
 
 def headers_that_fit(headers: list[Header]) -> int:
@@ -54,11 +55,13 @@
 
 def to_pieces(body: bytes) -> tuple[bytes, ...]:
     """The body compressed, in pieces; ValueError where it is too long."""
-    if len(body) > BODY_MOST:
-        raise ValueError(f"a configuration of {len(body)} bytes; at most {BODY_MOST} may be")
+    if len(body) > MAX_BODY_BYTES:
+        raise ValueError(f"a configuration of {len(body)} bytes; at most {MAX_BODY_BYTES} may be")
     packed = zlib.compress(body, 6)
-    if len(packed) > PACKED_MOST:
-        raise ValueError(f"a configuration of {len(packed)} bytes compressed; at most {PACKED_MOST} may be")
+    if len(packed) > MAX_PACKED_BYTES:
+        raise ValueError(
+            f"a configuration of {len(packed)} bytes compressed; at most {MAX_PACKED_BYTES} may be"
+        )
     return tuple(packed[at : at + PIECE_BYTES] for at in range(0, len(packed), PIECE_BYTES))
 
 
@@ -66,7 +69,7 @@
     """The body, or None where the pieces are not of the body with this digest."""
     unpacker = zlib.decompressobj()
     try:
-        body = unpacker.decompress(b"".join(pieces), BODY_MOST)
+        body = unpacker.decompress(b"".join(pieces), MAX_BODY_BYTES)
     except zlib.error:
         return None
     return body if unpacker.eof and body_digest(body) == digest else None
--- a/ladderhub/revision/context.py
+++ b/ladderhub/revision/context.py
@@ -8,7 +8,7 @@
 from hashlib import blake2b
 
 from ladderhub.revision.messages import RevisionMessage
-from ladderhub.revision.types import Action, Notice, RevisionSettings, Send, Tell
+from ladderhub.revision.types import Action, Notice, Notify, RevisionSettings, Send
 
 
 class Context:
@@ -20,7 +20,7 @@
         self.settings = settings
         self.random = random.Random(f"{seed}/{settings.name}/{settings.life}")
         life = f"{settings.name}/{settings.life}".encode()
-        self.proposer = int.from_bytes(blake2b(life, digest_size=8).digest(), "big") >> 1
+        self.proposer_id = int.from_bytes(blake2b(life, digest_size=8).digest(), "big") >> 1
         self.addresses: dict[str, str] = {}  # of the other members, by name
         self.actions: list[Action] = []
         self.inbox: deque[RevisionMessage] = deque()
@@ -33,7 +33,7 @@
             self.actions.append(Send(address, message))
 
     def tell(self, notice: Notice, text: str) -> None:
-        self.actions.append(Tell(notice, text))
+        self.actions.append(Notify(notice, text))
 
     def nonce(self) -> int:
         """Not to be guessed by who did not see the request."""
--- a/ladderhub/revision/ledger.py
+++ b/ladderhub/revision/ledger.py
@@ -33,34 +33,34 @@
         return self.headers[-1] if self.headers else None
 
     @property
-    def number(self) -> int:
+    def head_number(self) -> int:
         return self.headers[-1].number if self.headers else 0
 
     @property
-    def digest(self) -> bytes:
+    def head_digest(self) -> bytes:
         return self.digests[-1] if self.digests else digest_of(None)
 
     @property
-    def first(self) -> int:
+    def first_number(self) -> int:
         """The lowest number that is kept; 0 where none is."""
         return self.headers[0].number if self.headers else 0
 
     def digest_at(self, number: int) -> bytes | None:
         """The digest of a chosen header that is still kept."""
-        at = number - self.first
+        at = number - self.first_number
         return self.digests[at] if self.headers and 0 <= at < len(self.digests) else None
 
-    def since(self, number: int) -> list[Header]:
+    def headers_since(self, number: int) -> list[Header]:
         """The chosen headers from this number on, as far as they are kept."""
-        return self.headers[max(0, number - self.first) :]
+        return self.headers[max(0, number - self.first_number) :]
 
-    def follows(self, header: Header) -> bool:
+    def extends_head(self, header: Header) -> bool:
         """Is it the child of the head?"""
-        return header.number == self.number + 1 and header.parent == self.digest
+        return header.number == self.head_number + 1 and header.parent == self.head_digest
 
-    def choose(self, header: Header) -> None:
+    def record_chosen(self, header: Header) -> None:
         """It is chosen, and follows the head or replaces all that is known."""
-        if not self.follows(header):
+        if not self.extends_head(header):
             self.headers.clear()
             self.digests.clear()
         self.headers.append(header)
@@ -93,12 +93,12 @@
 
     # --- votes ------------------------------------------------------------------------------------------
 
-    def promise(self, ballot: Ballot) -> None:
+    def record_promise(self, ballot: Ballot) -> None:
         if ballot != self.promised:
             self.promised = ballot
             self._dirty = True
 
-    def accept(self, ballot: Ballot, header: Header, body: bytes) -> None:
+    def record_acceptance(self, ballot: Ballot, header: Header, body: bytes) -> None:
         self.promised = ballot
         self.accepted = Acceptance(ballot, header, body)
         self._dirty = True
@@ -113,9 +113,9 @@
         """Have it written before the actions that follow, where anything has changed."""
         if self._dirty:
             self._dirty = False
-            self._context.actions.append(Store(self._record()))
+            self._context.actions.append(Store(self._build_record()))
 
-    def _record(self) -> Record:
+    def _build_record(self) -> Record:
         return Record(
             tuple(self.headers), self.body, self.active, self.active_body, self.promised, self.accepted,
             self.votes_from,
--- a/ladderhub/revision/messages.py
+++ b/ladderhub/revision/messages.py
@@ -10,21 +10,21 @@
 import msgspec
 
 DIGEST_BYTES = 16
-SHORT_BYTES = 8  # of a digest that rides on every frame
-AUTHOR_BYTES, REASON_BYTES, FAULT_BYTES = 64, 200, 200  # of UTF-8
+SHORT_DIGEST_BYTES = 8  # of a digest that rides on every frame
+MAX_AUTHOR_BYTES, MAX_REASON_BYTES, MAX_FAULT_BYTES = 64, 200, 200  # of UTF-8
 PIECE_BYTES = 800  # beside the longest name and address it fits into a datagram of 1,200 bytes
-PACKED_MOST = 64 * 1024  # of a compressed body
-BODY_MOST = 1024 * 1024  # of a body
-PIECES_MOST = (PACKED_MOST + PIECE_BYTES - 1) // PIECE_BYTES
-PIECES_ASKED = 16  # in one request
-HEADERS_TOLD = 6  # in one message
+MAX_PACKED_BYTES = 64 * 1024  # of a compressed body
+MAX_BODY_BYTES = 1024 * 1024  # of a body
+MAX_PIECES = (MAX_PACKED_BYTES + PIECE_BYTES - 1) // PIECE_BYTES
+MAX_PIECES_PER_REQUEST = 16  # in one request
+MAX_HEADERS_PER_MESSAGE = 6  # in one message
 
 Digest = Annotated[bytes, msgspec.Meta(min_length=DIGEST_BYTES, max_length=DIGEST_BYTES)]
-Short = Annotated[bytes, msgspec.Meta(min_length=SHORT_BYTES, max_length=SHORT_BYTES)]
+ShortDigest = Annotated[bytes, msgspec.Meta(min_length=SHORT_DIGEST_BYTES, max_length=SHORT_DIGEST_BYTES)]
 Address = Annotated[str, msgspec.Meta(max_length=64, pattern=r"^[^:\s]+:[0-9]{1,5}$")]
-Word64 = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
+UInt63 = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
 Count = Annotated[int, msgspec.Meta(ge=0, lt=1 << 31)]
-PieceIndex = Annotated[int, msgspec.Meta(ge=0, lt=PIECES_MOST)]
+PieceIndex = Annotated[int, msgspec.Meta(ge=0, lt=MAX_PIECES)]
 
 
 class Head(msgspec.Struct, frozen=True, array_like=True):
@@ -32,7 +32,7 @@
     ago a majority of the voters confirmed it, as far as the sender knows.  Number 0: none yet."""
 
     number: Count
-    digest: Short
+    digest: ShortDigest
     age_ms: Count
 
 
@@ -41,9 +41,9 @@
 
     number: Count
     parent: Digest
-    author: Annotated[str, msgspec.Meta(max_length=AUTHOR_BYTES)]
-    made_ms: Word64
-    reason: Annotated[str, msgspec.Meta(max_length=REASON_BYTES)]
+    author: Annotated[str, msgspec.Meta(max_length=MAX_AUTHOR_BYTES)]
+    made_ms: UInt63
+    reason: Annotated[str, msgspec.Meta(max_length=MAX_REASON_BYTES)]
     body: Digest
 
 
@@ -51,7 +51,7 @@
     """Ordered; `proposer` stands for one life of one scheduler, so no two have the same ballot."""
 
     round: Count
-    proposer: Word64
+    proposer: UInt63
 
 
 # --- what was chosen ------------------------------------------------------------------------------------
@@ -60,7 +60,7 @@
 class AskHead(msgspec.Struct, frozen=True, array_like=True, tag=16):
     """What is the newest that you know?"""
 
-    nonce: Word64
+    nonce: UInt63
     reply_to: Address
 
 
@@ -68,7 +68,7 @@
     """The answer.  `sender`: its own address; `accepted`: of a voter the highest number for which it has
     accepted a value or knows the chosen one; None where it has no record of that, or is no voter."""
 
-    nonce: Word64
+    nonce: UInt63
     sender: Address
     number: Count
     accepted: Count | None
@@ -85,31 +85,31 @@
     """Chosen headers, in order, without gaps; `first` is the lowest number that the sender still keeps."""
 
     first: Count
-    headers: Annotated[tuple[Header, ...], msgspec.Meta(max_length=HEADERS_TOLD)]
+    headers: Annotated[tuple[Header, ...], msgspec.Meta(max_length=MAX_HEADERS_PER_MESSAGE)]
 
 
 class FetchPieces(msgspec.Struct, frozen=True, array_like=True, tag=20):
     """Tell me these pieces of the compressed body with this digest."""
 
-    nonce: Word64
+    nonce: UInt63
     body: Digest
-    pieces: Annotated[tuple[PieceIndex, ...], msgspec.Meta(max_length=PIECES_ASKED)]
+    pieces: Annotated[tuple[PieceIndex, ...], msgspec.Meta(max_length=MAX_PIECES_PER_REQUEST)]
     reply_to: Address
 
 
 class Piece(msgspec.Struct, frozen=True, array_like=True, tag=21):
     """One of `total` pieces; the nonce is that of the request."""
 
-    nonce: Word64
+    nonce: UInt63
     index: PieceIndex
-    total: Annotated[int, msgspec.Meta(ge=1, le=PIECES_MOST)]
+    total: Annotated[int, msgspec.Meta(ge=1, le=MAX_PIECES)]
     data: Annotated[bytes, msgspec.Meta(max_length=PIECE_BYTES)]
 
 
 class Lacking(msgspec.Struct, frozen=True, array_like=True, tag=22):
     """The answer to a request for pieces of a body that the receiver does not have."""
 
-    nonce: Word64
+    nonce: UInt63
 
 
 # --- the check before a ballot --------------------------------------------------------------------------
@@ -127,7 +127,7 @@
     """The answer; an empty `fault` says yes."""
 
     body: Digest
-    fault: Annotated[str, msgspec.Meta(max_length=FAULT_BYTES)]
+    fault: Annotated[str, msgspec.Meta(max_length=MAX_FAULT_BYTES)]
 
 
 # --- the ballot: Paxos, one decision a number -----------------------------------------------------------
--- a/ladderhub/revision/opinions.py
+++ b/ladderhub/revision/opinions.py
@@ -7,7 +7,7 @@
 from ladderhub.revision.bodies import Downloads
 from ladderhub.revision.content import cut_text
 from ladderhub.revision.context import Context
-from ladderhub.revision.messages import FAULT_BYTES, Opinion, Proposal
+from ladderhub.revision.messages import MAX_FAULT_BYTES, Opinion, Proposal
 from ladderhub.revision.types import CheckBody, S
 
 OPINIONS_KEPT = 64
@@ -69,7 +69,7 @@
                 context.send(address, Proposal(digest, proposer, mine))
 
     def on_checked(self, now: int, digest: bytes, fault: str | None) -> None:
-        told = cut_text(fault or "", FAULT_BYTES)
+        told = cut_text(fault or "", MAX_FAULT_BYTES)
         if fault is not None and not told:
             told = "no reason given"
         self._checking.discard(digest)
--- a/ladderhub/revision/proposer.py
+++ b/ladderhub/revision/proposer.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from ladderhub.revision.ballots import Decision
+from ladderhub.revision.ballots import PaxosInstance
 from ladderhub.revision.content import digest_of
 from ladderhub.revision.context import Context
 from ladderhub.revision.ledger import Ledger
@@ -24,7 +24,7 @@
 
     def __init__(self, context: Context, ledger: Ledger, requests: Requests) -> None:
         self._context, self._ledger, self._requests = context, ledger, requests
-        self.decision: Decision | None = None
+        self.decision: PaxosInstance | None = None
         self._round = 1  # grows over all decisions of this life: no ballot is used twice
         self._finish_ns: int | None = None  # when to finish what this voter has accepted
         self._give_up_ns = 0  # of a decision that only finishes
@@ -41,7 +41,7 @@
         self._drop_orphan()
         front = self._requests.waiting[0] if self._requests.waiting else None
         if front is not None and front.ready_ns is not None:
-            if self.decision is None or self.decision.own is None:
+            if self.decision is None or self.decision.own_header is None:
                 self._propose(front)
         elif self.decision is None:
             self._finish(now)
@@ -51,43 +51,47 @@
         decision = self.decision
         if decision is None:
             return
-        given_up = decision.own is None and now >= self._give_up_ns
-        if decision.number <= self._ledger.number or decision.nothing_begun or given_up:
+        given_up = decision.own_header is None and now >= self._give_up_ns
+        if decision.number <= self._ledger.head_number or decision.nothing_begun or given_up:
             self._close_decision()
 
     def _close_decision(self) -> None:
         if self.decision is not None:
-            self._round = max(self._round, self.decision.round)
+            self._round = max(self._round, self.decision.next_round)
             self.decision = None
 
     def _drop_orphan(self) -> None:
         """A decision whose request is answered without it ends."""
         decision = self.decision
-        if decision is not None and decision.own is not None:
+        if decision is not None and decision.own_header is not None:
             front = self._requests.waiting[0] if self._requests.waiting else None
-            if front is None or front.proposed != decision.own:
+            if front is None or front.proposed != decision.own_header:
                 self._close_decision()
 
     def _settle(self, now: int, request: Request, age_ns: int | None) -> bool:
         """Is its outcome known?  Then it is answered and off the list."""
         ledger, close = self._ledger, self._requests.close
         decision = self.decision
-        if decision is not None and decision.own is not None and decision.own == request.proposed:
+        if (
+            decision is not None
+            and decision.own_header is not None
+            and decision.own_header == request.proposed
+        ):
             request.asked_to_accept = request.asked_to_accept or decision.asked_to_accept
         proposed = request.proposed
         if proposed is not None and request.was_chosen(ledger.digest_at(proposed.number)):
             close(request, Applied(proposed, digest_of(proposed), request.silent_names()))
-        elif proposed is not None and proposed.number < ledger.first:
+        elif proposed is not None and proposed.number < ledger.first_number:
             request.asked_to_accept = True  # what was chosen for that number is kept nowhere near
             close(request, self._no_majority(request, age_ns))
         elif ledger.head is not None and request.request is None:
-            close(request, Unchanged(ledger.head, ledger.digest))  # the first revision: nobody waits
+            close(request, Unchanged(ledger.head, ledger.head_digest))  # the first revision: nobody waits
         elif ledger.head is not None and ledger.head.body == request.digest:
-            close(request, Unchanged(ledger.head, ledger.digest))
-        elif request.parent is not None and request.parent != ledger.digest:
+            close(request, Unchanged(ledger.head, ledger.head_digest))
+        elif request.parent is not None and request.parent != ledger.head_digest:
             winner = self._child_of(request.parent)
             if winner is None:
-                close(request, StaleParent(ledger.head, ledger.digest))
+                close(request, StaleParent(ledger.head, ledger.head_digest))
             else:
                 close(request, LostTo(winner, digest_of(winner)))
         elif request.ready_ns is not None and now >= request.ready_ns + DECIDE_NS:
@@ -101,16 +105,16 @@
 
     def _no_majority(self, request: Request, age_ns: int | None) -> NoMajority:
         decision = self.decision
-        answered = len(decision.answered) if decision is not None else 0
+        answered = len(decision.answered_by) if decision is not None else 0
         voters = len(self._context.settings.voters)
         return NoMajority(answered, voters, request.asked_to_accept, age_ns)
 
     def _propose(self, request: Request) -> None:
         self._close_decision()
-        number = self._ledger.number + 1
-        request.proposed = request.header(number, self._ledger.digest)
+        number = self._ledger.head_number + 1
+        request.proposed = request.header(number, self._ledger.head_digest)
         request.asked_to_accept = False
-        self.decision = Decision(self._context, number, request.proposed, self._round)
+        self.decision = PaxosInstance(self._context, number, request.proposed, self._round)
 
     # --- finishing --------------------------------------------------------------------------------------
 
@@ -123,13 +127,13 @@
         elif now >= self._finish_ns:
             self._finish_ns = now + FINISH_TRY_NS + self._context.jitter(*FINISH_PAUSE_NS)
             self._give_up_ns = now + FINISH_TRY_NS
-            self.decision = Decision(self._context, self._ledger.number + 1, None, self._round)
+            self.decision = PaxosInstance(self._context, self._ledger.head_number + 1, None, self._round)
 
     def due_ns(self) -> int | None:
         due = [each for each in (self._finish_ns,) if each is not None]
         if self.decision is not None:
             due.append(self.decision.due_ns)
-            if self.decision.own is None:
+            if self.decision.own_header is None:
                 due.append(self._give_up_ns)
         due += [request.ready_ns + DECIDE_NS for request in self._requests.waiting if request.ready_ns]
         return min(due, default=None)
--- a/ladderhub/revision/requests.py
+++ b/ladderhub/revision/requests.py
@@ -10,7 +10,7 @@
 from ladderhub.revision.bodies import Bodies
 from ladderhub.revision.content import body_digest, cut_text, digest_of, to_pieces
 from ladderhub.revision.context import Context
-from ladderhub.revision.messages import AUTHOR_BYTES, REASON_BYTES, Header, Opinion, Proposal
+from ladderhub.revision.messages import MAX_AUTHOR_BYTES, MAX_REASON_BYTES, Header, Opinion, Proposal
 from ladderhub.revision.opinions import FAN_OUT, Opinions
 from ladderhub.revision.types import MS, Answer, Apply, Invalid, Notice, Outcome, Refused, S
 
@@ -62,9 +62,9 @@
     def add(self, now: int, apply: Apply) -> None:
         fault = self._fault_of(apply)
         if fault:
-            self._context.actions.append(Answer(apply.request, Invalid(fault)))
+            self._context.actions.append(Answer(apply.request_id, Invalid(fault)))
             return
-        self._begin(now, apply.request, apply)
+        self._begin(now, apply.request_id, apply)
 
     def add_first(self, now: int, apply: Apply) -> None:
         """The settings file, as revision 1."""
@@ -74,7 +74,7 @@
         if len(self.waiting) >= REQUESTS_MOST:
             return f"{REQUESTS_MOST} changes wait here already"
         for what, text, most in (
-            ("author", apply.author, AUTHOR_BYTES), ("reason", apply.reason, REASON_BYTES),
+            ("author", apply.author, MAX_AUTHOR_BYTES), ("reason", apply.reason, MAX_REASON_BYTES),
         ):  # fmt: skip
             if cut_text(text, most) != text:
                 return f"{what}: at most {most} bytes may be"
--- a/ladderhub/revision/revisions.py
+++ b/ladderhub/revision/revisions.py
@@ -48,7 +48,7 @@
         self._confirmation = Confirmation(context, ledger, self._sync)
         self._catch_up = CatchUp(context, ledger, self._sync, self._confirmation)
         self._activation = Activation(context, ledger, self._opinions)
-        self._first_digest = body_digest(settings.first)
+        self._first_digest = body_digest(settings.initial_body)
         self._first_ns: int | None = None  # when to propose the settings file
         self._file_told = False
         self._last_ns: int | None = None  # of the last event
@@ -69,7 +69,7 @@
         ledger, head = self._ledger, self._ledger.head
         differs = head is not None and head.body != self._first_digest
         return Status(
-            head, ledger.digest, self._activation.acting, self._confirmation.age_ns(now_ns),
+            head, ledger.head_digest, self._activation.acting, self._confirmation.age_ns(now_ns),
             self._catch_up.reason, self._activation.fault, differs, tuple(ledger.headers),
         )  # fmt: skip
 
@@ -115,14 +115,16 @@
 
     def _on_apply(self, now: int, apply: Apply) -> None:
         ledger, parent = self._ledger, apply.parent
-        if parent is not None and parent != ledger.digest and not self._may_follow(parent):
-            self._context.actions.append(Answer(apply.request, StaleParent(ledger.head, ledger.digest)))
+        if parent is not None and parent != ledger.head_digest and not self._may_follow(parent):
+            self._context.actions.append(
+                Answer(apply.request_id, StaleParent(ledger.head, ledger.head_digest))
+            )
         else:
             self._requests.add(now, apply)
 
     def _may_follow(self, parent: bytes) -> bool:
         """Could this be the digest of a revision that we are about to learn of?"""
-        behind = self._sync.newest_seen() > self._ledger.number or self._catch_up.reason is not None
+        behind = self._sync.newest_seen() > self._ledger.head_number or self._catch_up.reason is not None
         return behind and parent not in self._ledger.digests
 
     def _drain(self, now: int) -> None:
@@ -190,7 +192,7 @@
             self._downloads.on_lacking(now, message)
         elif isinstance(message, AskHead):
             head = HeadIs(
-                message.nonce, self.settings.address, self._ledger.number, self._voter.accepted_number()
+                message.nonce, self.settings.address, self._ledger.head_number, self._voter.accepted_number()
             )
             self._context.send(message.reply_to, head)
         elif isinstance(message, HeadIs):
@@ -225,7 +227,7 @@
 
     def _tell_chosen(self, number: int, address: str) -> bool:
         """To a proposer that does not know yet what was chosen for its number."""
-        if number > self._ledger.number:
+        if number > self._ledger.head_number:
             return False
         self._sync.on_fetch(FetchHeaders(number, address))
         return True
@@ -262,8 +264,8 @@
     def _on_decided(self, now: int, header: Header) -> None:
         """Our ballot has its majority."""
         self._confirmation.confirm(now)
-        if self._ledger.follows(header):
-            self._ledger.choose(header)
+        if self._ledger.extends_head(header):
+            self._ledger.record_chosen(header)
             others = tuple(each for each in self.settings.voters if each != self.settings.address)
             self._on_head_changed(now, "", others)
 
@@ -300,7 +302,7 @@
             self._first_ns = now + rank * FIRST_STEP_NS
         if now >= self._first_ns and not self._requests.waiting:
             self._first_ns = now + self._context.jitter(*FIRST_AGAIN_NS)
-            first, name = self.settings.first, self.settings.name
+            first, name = self.settings.initial_body, self.settings.name
             self._requests.add_first(now, Apply(0, None, name, FIRST_REASON, 0, first))
 
     def _tell_file(self) -> None:
--- a/ladderhub/revision/sync.py
+++ b/ladderhub/revision/sync.py
@@ -12,7 +12,7 @@
 from ladderhub.revision.content import digest_of, header_fits, headers_that_fit, shorten
 from ladderhub.revision.context import Context
 from ladderhub.revision.ledger import HEADERS_KEPT, Ledger
-from ladderhub.revision.messages import HEADERS_TOLD, FetchHeaders, Head, Header, Headers
+from ladderhub.revision.messages import MAX_HEADERS_PER_MESSAGE, FetchHeaders, Head, Header, Headers
 from ladderhub.revision.types import MS, Notice, S
 
 PUSHED_TO = 4  # members that each member tells of a head at once
@@ -40,12 +40,12 @@
         self._conflicts: set[int] = set()
 
     def newest_seen(self) -> int:
-        return max([self._ledger.number, *self._sources.values()])
+        return max([self._ledger.head_number, *self._sources.values()])
 
     # --- what others have -------------------------------------------------------------------------------
 
     def on_head(self, now: int, address: str, head: Head) -> None:
-        if head.number > self._ledger.number:
+        if head.number > self._ledger.head_number:
             self.note(now, address, head.number)
             return
         known = self._ledger.digest_at(head.number)
@@ -54,7 +54,7 @@
 
     def note(self, now: int, address: str, number: int) -> None:
         """Somebody's head is newer than ours: ask, unless that is under way."""
-        if number <= self._ledger.number or not address or address == self._context.settings.address:
+        if number <= self._ledger.head_number or not address or address == self._context.settings.address:
             return
         if now < self._ignored.get(address, 0):
             return
@@ -67,7 +67,7 @@
     def _ask(self, now: int, address: str) -> None:
         self._ask_ns = now + self._context.jitter(*RETRY_NS)
         self._tries[address] = self._tries.get(address, 0) + 1
-        start = self._ledger.number + 1 if self._ledger.head is not None else 0
+        start = self._ledger.head_number + 1 if self._ledger.head is not None else 0
         self._context.send(address, FetchHeaders(start, self._context.settings.address))
 
     def tick(self, now: int) -> None:
@@ -75,7 +75,7 @@
             for address, number in list(self._sources.items()):
                 if self._tries.get(address, 0) >= TRIES_MOST:
                     self._ignore(now, address)
-                elif number <= self._ledger.number:
+                elif number <= self._ledger.head_number:
                     del self._sources[address]
             self._tries = {each: tries for each, tries in self._tries.items() if each in self._sources}
             if self._sources:
@@ -99,13 +99,13 @@
 
     def on_headers(self, now: int, source: str, message: Headers) -> bool:
         """Take what follows ours.  True where our head has changed."""
-        before = self._ledger.number
+        before = self._ledger.head_number
         if not _is_linked(message.headers):
             return False
         for header in message.headers:
             if not self._take(now, source, message.first, header):
                 break
-        if self._ledger.number == before:
+        if self._ledger.head_number == before:
             return False
         self._ask_ns = now  # whoever has more is asked at once
         self._tries.clear()
@@ -113,19 +113,19 @@
 
     def _take(self, now: int, source: str, first: int, header: Header) -> bool:
         ledger = self._ledger
-        if header.number <= ledger.number:
+        if header.number <= ledger.head_number:
             known = ledger.digest_at(header.number)
             if known is not None and known != digest_of(header):
                 self._conflict(header.number, source)
                 return False
             return True
-        if ledger.follows(header):
-            ledger.choose(header)
+        if ledger.extends_head(header):
+            ledger.record_chosen(header)
             return True
-        if header.number == ledger.number + 1 and ledger.head is not None:
-            self._conflict(ledger.number, source)
+        if header.number == ledger.head_number + 1 and ledger.head is not None:
+            self._conflict(ledger.head_number, source)
             return False
-        if ledger.head is None or first > ledger.number + 1:
+        if ledger.head is None or first > ledger.head_number + 1:
             self._skip_to(header)
             return True
         self.note(now, source, header.number)
@@ -134,8 +134,8 @@
     def _skip_to(self, header: Header) -> None:
         """Nobody keeps what links our head to this one, or we have none."""
         if self._ledger.head is not None:
-            self._context.tell(Notice.SKIPPED, f"from revision {self._ledger.number} to {header.number}")
-        self._ledger.choose(header)
+            self._context.tell(Notice.SKIPPED, f"from revision {self._ledger.head_number} to {header.number}")
+        self._ledger.record_chosen(header)
 
     def _conflict(self, number: int, source: str) -> None:
         if number not in self._conflicts and len(self._conflicts) < HEADERS_KEPT:
@@ -145,14 +145,14 @@
     def on_fetch(self, fetch: FetchHeaders) -> None:
         """Answer with what follows; the newest where that is not kept, or not asked for."""
         ledger = self._ledger
-        if fetch.start > ledger.number:
+        if fetch.start > ledger.head_number:
             return
-        newest_only = fetch.start < max(1, ledger.first)
-        headers = ledger.headers[-HEADERS_PUSHED:] if newest_only else ledger.since(fetch.start)
+        newest_only = fetch.start < max(1, ledger.first_number)
+        headers = ledger.headers[-HEADERS_PUSHED:] if newest_only else ledger.headers_since(fetch.start)
         for _ in range(ANSWERS_MOST):
-            count = headers_that_fit(headers[:HEADERS_TOLD])
+            count = headers_that_fit(headers[:MAX_HEADERS_PER_MESSAGE])
             if count:
-                told = Headers(ledger.first, tuple(headers[:count]))
+                told = Headers(ledger.first_number, tuple(headers[:count]))
                 self._context.send(fetch.reply_to, told)
             headers = headers[count:]
 
@@ -167,7 +167,7 @@
         headers = self._ledger.headers[-HEADERS_PUSHED:]
         newest = headers[len(headers) - headers_that_fit(headers[::-1]) :]
         for address in addresses:
-            self._context.send(address, Headers(self._ledger.first, tuple(newest)))
+            self._context.send(address, Headers(self._ledger.first_number, tuple(newest)))
 
 
 def _is_linked(headers: tuple[Header, ...]) -> bool:
--- a/ladderhub/revision/types.py
+++ b/ladderhub/revision/types.py
@@ -16,14 +16,14 @@
     """What one scheduler is told at its start.
 
     `life` grows over all lives of a name.  `voters`: addresses, the same on all schedulers; this scheduler is
-    one where its `address` is among them.  `first`: the body that its settings file gives, proposed as
+    one where its `address` is among them.  `initial_body`: the body that its settings file gives, proposed as
     revision 1 where nothing is chosen yet."""
 
     name: str
     life: int
     address: str
     voters: tuple[str, ...]
-    first: bytes
+    initial_body: bytes
 
     def __post_init__(self) -> None:
         if not self.voters or len(set(self.voters)) != len(self.voters):
@@ -78,9 +78,9 @@
 @dataclass(frozen=True, slots=True)
 class Apply:
     """An operator wants this body to be in force.  `parent`: the digest of the revision that it was made
-    from; None: on top of whatever is current.  Answered by one `Answer` with the same `request`."""
+    from; None: on top of whatever is current.  Answered by one `Answer` with the same `request_id`."""
 
-    request: int
+    request_id: int
     parent: bytes | None
     author: str
     reason: str
@@ -237,7 +237,7 @@
 class Answer:
     """What became of an `Apply`."""
 
-    request: int
+    request_id: int
     outcome: Outcome
 
 
@@ -258,7 +258,7 @@
 
     CHOSEN = "chosen"
     ACTIVE = "active"
-    CANNOT_TAKE = "cannot act by the chosen revision"
+    CANNOT_ACTIVATE = "cannot act by the chosen revision"
     FILE_DIFFERS = "the settings file is not what is in force"
     FILE_REFUSED = "a member cannot act by the settings file, so it is not the first revision"
     CONFLICT = "two chosen revisions of one number"
@@ -270,14 +270,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class Notify:
     """For the log."""
 
     notice: Notice
     text: str
 
 
-Action = Send | WakeAt | CheckBody | Store | Activate | Answer | Hold | Resume | Tell
+Action = Send | WakeAt | CheckBody | Store | Activate | Answer | Hold | Resume | Notify
 
 
 @dataclass(frozen=True, slots=True)
@@ -289,7 +289,7 @@
     digest: bytes
     active: Header | None
     age_ns: int | None
-    held: str | None = None
+    hold_reason: str | None = None
     fault: str | None = None
     file_differs: bool = False
     history: tuple[Header, ...] = field(default_factory=tuple)
--- a/ladderhub/revision/voter.py
+++ b/ladderhub/revision/voter.py
@@ -38,8 +38,8 @@
         ledger = self._ledger
         if not self.is_voter or ledger.votes_from is None:
             return None
-        promised_first = ledger.number == 0 and ledger.promised is not None
-        known = ledger.number + (promised_first or ledger.accepted is not None)
+        promised_first = ledger.head_number == 0 and ledger.promised is not None
+        known = ledger.head_number + (promised_first or ledger.accepted is not None)
         return max(known, ledger.votes_from - 1)  # what is below, it may have forgotten
 
     def start(self) -> None:
@@ -63,7 +63,7 @@
         known = [number for number in self._others_accepted.values() if number is not None]
         if len(known) < self._others_enough and len(self._others_accepted) < others:
             return
-        highest = max([*known, self._ledger.number])
+        highest = max([*known, self._ledger.head_number])
         self._ledger.vote_from(highest + 2 if highest else 1)
         self._ledger.store()
         self._context.tell(Notice.VOTING, f"from revision {self._ledger.votes_from} on")
@@ -79,10 +79,10 @@
 
     def _is_next(self, number: int, reply_to: str) -> bool:
         """Only the number after the head is voted on; what was chosen before it is asked for."""
-        if number > self._ledger.number + 1:
-            fetch = FetchHeaders(self._ledger.number + 1, self._context.settings.address)
+        if number > self._ledger.head_number + 1:
+            fetch = FetchHeaders(self._ledger.head_number + 1, self._context.settings.address)
             self._context.send(reply_to, fetch)
-        return number == self._ledger.number + 1
+        return number == self._ledger.head_number + 1
 
     def on_prepare(self, prepare: Prepare) -> None:
         ledger, context = self._ledger, self._context
@@ -91,7 +91,7 @@
         if ledger.promised is not None and prepare.ballot < ledger.promised:
             context.send(prepare.reply_to, Rejected(prepare.number, prepare.ballot, ledger.promised))
             return
-        ledger.promise(prepare.ballot)
+        ledger.record_promise(prepare.ballot)
         ledger.store()
         voter, accepted = context.settings.address, ledger.accepted
         if accepted is None:
@@ -105,7 +105,7 @@
         ledger, context, number = self._ledger, self._context, accept.header.number
         if not self._is_next(number, accept.reply_to) or not self._may_vote(number):
             return
-        if accept.header.parent != ledger.digest:
+        if accept.header.parent != ledger.head_digest:
             return  # no proposer that knows what was chosen asks for this
         if ledger.promised is not None and accept.ballot < ledger.promised:
             context.send(accept.reply_to, Rejected(number, accept.ballot, ledger.promised))
@@ -117,7 +117,7 @@
             self.waiting = accept
             return
         if accepted is None or accepted.ballot != accept.ballot:
-            ledger.accept(accept.ballot, accept.header, body)
+            ledger.record_acceptance(accept.ballot, accept.header, body)
             ledger.store()
         if self.waiting is not None and self.waiting.ballot <= accept.ballot:
             self.waiting = None
--- a/ladderhub/server/revisions.py
+++ b/ladderhub/server/revisions.py
@@ -25,12 +25,13 @@
 NO_REVISION = 0  # the number of the settings file until it, or another policy, is chosen
 _LOGGED_ELSEWHERE = (Notice.CHOSEN, Notice.ACTIVE)  # by what is stored and activated, with more detail
 _WORDS = {
-    Notice.CANNOT_TAKE: "refused", Notice.FILE_DIFFERS: "file differs", Notice.FILE_REFUSED: "file refused",
-    Notice.CONFLICT: "conflict", Notice.SKIPPED: "skipped", Notice.BEHIND: "behind",
-    Notice.CAUGHT_UP: "caught up", Notice.NOT_VOTING: "not voting", Notice.VOTING: "voting",
+    Notice.CANNOT_ACTIVATE: "refused", Notice.FILE_DIFFERS: "file differs",
+    Notice.FILE_REFUSED: "file refused", Notice.CONFLICT: "conflict", Notice.SKIPPED: "skipped",
+    Notice.BEHIND: "behind", Notice.CAUGHT_UP: "caught up", Notice.NOT_VOTING: "not voting",
+    Notice.VOTING: "voting",
 }  # fmt: skip
 _WARNED = (
-    Notice.CANNOT_TAKE, Notice.FILE_DIFFERS, Notice.FILE_REFUSED, Notice.CONFLICT, Notice.BEHIND,
+    Notice.CANNOT_ACTIVATE, Notice.FILE_DIFFERS, Notice.FILE_REFUSED, Notice.CONFLICT, Notice.BEHIND,
     Notice.NOT_VOTING,
 )  # fmt: skip
 
@@ -153,7 +154,7 @@
         number, digest = self._site.revision.number, self._site.revision.digest
         age = "unknown" if status.age_ns is None else f"{status.age_ns / S:.1f}"
         rows = [Attr("revision", f"{number} {digest.hex()}"), Attr("revision_age", age)]
-        rows.append(Attr("revision_state", self._state_word(status.held, status.fault)))
+        rows.append(Attr("revision_state", self._state_word(status.hold_reason, status.fault)))
         return [*rows, Attr("settings_file", "differs" if status.file_differs else "in force")]
 
     def _state_word(self, held: str | None, fault: str | None) -> str:
@@ -194,7 +195,7 @@
             age_ms=-1 if age is None else age // MS, **more,
         )  # fmt: skip
 
-    def check(self, body: bytes) -> str | None:
+    def check_body(self, body: bytes) -> str | None:
         fault: str | None = None
         try:
             self._site.settings.with_policy(body, "policy")
@@ -223,7 +224,7 @@
         self._site.log.info("revision", what="resumed")
         self._site.resume()
 
-    def tell(self, notice: Notice, text: str) -> None:
+    def notify(self, notice: Notice, text: str) -> None:
         if notice in _LOGGED_ELSEWHERE:
             return
         log = self._site.log.warning if notice in _WARNED else self._site.log.info
--- a/tests/peers/test_revisions.py
+++ b/tests/peers/test_revisions.py
@@ -18,7 +18,7 @@
 from ladderhub.pbs import names as n
 from ladderhub.pbs.batch import Attr, Reply, Request, Row
 from ladderhub.peers.revisions import RevisionCarrier
-from ladderhub.revision import Answer, Notice, Record, Resume, Revision, Send, Store, Tell
+from ladderhub.revision import Answer, Notice, Notify, Record, Resume, Revision, Send, Store
 from ladderhub.revision.messages import AskHead, Header
 from ladderhub.revision.types import Outcome, Unchanged
 from ladderhub.server.daemon import Daemon
@@ -199,7 +199,7 @@
             raise OSError("no space left")
         self.done.append("store")
 
-    def check(self, body: bytes) -> str | None:
+    def check_body(self, body: bytes) -> str | None:
         return None
 
     def activate(self, revision: Revision) -> None:
@@ -214,7 +214,7 @@
     def resume(self) -> None:
         self.done.append("resume")
 
-    def tell(self, notice: Notice, text: str) -> None:
+    def notify(self, notice: Notice, text: str) -> None:
         self.done.append("tell")
 
 
@@ -229,7 +229,7 @@
     for action in (
         Store(Record()), Send("127.0.0.1:9", AskHead(1, "127.0.0.1:9")),
         Answer(1, Unchanged(header, b"")), Resume(),
-        Store(Record()), Tell(Notice.VOTING, ""),
+        Store(Record()), Notify(Notice.VOTING, ""),
     ):  # fmt: skip
         carrier.carry(0, action)
     assert not host.done and not sent
--- a/tests/revision/test_ballots.py
+++ b/tests/revision/test_ballots.py
@@ -6,7 +6,7 @@
 
 from ladderhub.lab.checker.ballot_processes import Bounds, Parts
 from ladderhub.lab.checker.ballots import at_random, exhaustive
-from ladderhub.revision.ballots import Decision
+from ladderhub.revision.ballots import PaxosInstance
 from ladderhub.revision.content import NO_DIGEST, body_digest
 from ladderhub.revision.context import Context
 from ladderhub.revision.ledger import Ledger
@@ -43,15 +43,15 @@
 class ForgetsPromises(Ledger):
     """A promise is not kept on disk."""
 
-    def promise(self, ballot: Ballot) -> None:
+    def record_promise(self, ballot: Ballot) -> None:
         self.promised = ballot
 
 
 class ForgetsAcceptances(Ledger):
     """An acceptance is not kept on disk."""
 
-    def accept(self, ballot: Ballot, header: Header, body: bytes) -> None:
-        super().accept(ballot, header, body)
+    def record_acceptance(self, ballot: Ballot, header: Header, body: bytes) -> None:
+        super().record_acceptance(ballot, header, body)
         self._dirty = False
 
 
@@ -83,23 +83,23 @@
         super().on_prepare(prepare)
 
 
-class KeepsItsOwnValue(Decision):
+class KeepsItsOwnValue(PaxosInstance):
     """A proposer proposes its own value whatever voters have accepted."""
 
-    def _choose_value(self, now: int) -> None:
+    def _select_value(self, now: int) -> None:
         self._promises.clear()
-        super()._choose_value(now)
+        super()._select_value(now)
 
 
-class TakesTheLowestValue(Decision):
+class TakesTheLowestValue(PaxosInstance):
     """Of the values that voters have accepted it proposes the one of the lowest ballot."""
 
-    def _choose_value(self, now: int) -> None:
+    def _select_value(self, now: int) -> None:
         accepted = [each for each in self._promises.values() if each.accepted is not None]
         lowest = min(accepted, key=lambda each: each.accepted or Ballot(0, 0), default=None)
         if lowest is not None:
             self._promises = {lowest.voter: lowest}
-        super()._choose_value(now)
+        super()._select_value(now)
 
 
 SHALLOW = [
@@ -139,7 +139,7 @@
 
     def without_life(self: Context, settings: RevisionSettings, seed: int) -> None:
         begin(self, settings, seed)
-        self.proposer = int(settings.name[1])
+        self.proposer_id = int(settings.name[1])
 
     monkeypatch.setattr(Context, "__init__", without_life)
     assert at_random(1_500, 2, Bounds(ballots=(3, 2), restarts=1)).broken
--- a/tests/revision/test_fleet.py
+++ b/tests/revision/test_fleet.py
@@ -9,7 +9,7 @@
 from ladderhub.lab.checker.schedules import at_random
 from ladderhub.lab.emulator.net import MS, Faults, S
 from ladderhub.lab.emulator.revisions import Play, changes
-from ladderhub.revision import Apply, HeadSeen, MessageReceived, Revisions, RevisionSettings, Tell, Tick
+from ladderhub.revision import Apply, HeadSeen, MessageReceived, Notify, Revisions, RevisionSettings, Tick
 from ladderhub.revision.activation import Activation
 from ladderhub.revision.messages import Head, Header, Headers
 from ladderhub.revision.opinions import Opinions
@@ -134,7 +134,7 @@
     bench.wait(4.0)
     status = bench.hosts[4].revisions.status(bench.net.now)
     assert status.fault == "no such kind of node" and status.head == outcome.header
-    assert bench.hosts[4].active == [1] and bench.judge.notices[Notice.CANNOT_TAKE] == 1
+    assert bench.hosts[4].active == [1] and bench.judge.notices[Notice.CANNOT_ACTIVATE] == 1
     bench.ask(0, b"better", None, 1)  # the next one it can take
     bench.wait(2.0)
     assert bench.active() == {3}
@@ -198,7 +198,7 @@
     settings = RevisionSettings("a", 1, "h:1", ("h:1", "h:2", "h:3"), b"file")
     revisions = Revisions(settings, None, 1)
     actions = [action for at in range(0, 40) for action in revisions.handle(at * 100 * MS, Tick())]
-    told = [action for action in actions if isinstance(action, Tell)]
+    told = [action for action in actions if isinstance(action, Notify)]
     notices = [action.text for action in told if action.notice is Notice.BEHIND]
     assert len(notices) == 1 and notices[0].startswith("nobody answers")
     assert not revisions.is_stale(39 * 100 * MS)
--- a/tests/revision/test_parts.py
+++ b/tests/revision/test_parts.py
@@ -10,7 +10,7 @@
 from ladderhub.revision.bodies import BODIES_KEPT, Bodies, Downloads, offer_pieces
 from ladderhub.revision.content import NO_DIGEST, body_digest, digest_of, from_pieces, to_pieces
 from ladderhub.revision.context import Context
-from ladderhub.revision.messages import BODY_MOST, Ballot, FetchPieces, Header, Piece
+from ladderhub.revision.messages import MAX_BODY_BYTES, Ballot, FetchPieces, Header, Piece
 from ladderhub.revision.types import MS, Acceptance, Send
 
 BODY = random.Random(1).randbytes(20_000)
@@ -56,7 +56,7 @@
     assert from_pieces(list(to_pieces(BODY))[:-1], body_digest(BODY)) is None
     assert from_pieces([b"no zlib at all"], body_digest(BODY)) is None
     with pytest.raises(ValueError, match="at most"):
-        to_pieces(bytes(BODY_MOST + 1))
+        to_pieces(bytes(MAX_BODY_BYTES + 1))
     with pytest.raises(ValueError, match="compressed"):
         to_pieces(random.Random(1).randbytes(100_000))
 
