--- a/ladderhub/lab/emulator/placement.py
+++ b/ladderhub/lab/emulator/placement.py
@@ -16,7 +16,7 @@
 from ladderhub.decide import Scheduler
 from ladderhub.lab.emulator.net import MS, Net, S
 from ladderhub.node.admission import Admission, Ask, Key, NodeSettings
-from ladderhub.owner.retries import RESERVE
+from ladderhub.owner.retries import PRIORITY_RESERVE
 
 _REASONS = {
     "CORES": api.Reason.CORES, "MEMORY": api.Reason.MEMORY, "LINE_FULL": api.Reason.LINE_FULL,
@@ -259,7 +259,7 @@
         first, most = settings.stay_ns
         urgent = settings.classes[record.work.klass].priority >= self.site.top_priority
         stay = round(min(most, first << record.asks - 1) * self.site.net.random.uniform(0.75, 1.25))
-        if self.again_left >= (1.0 if urgent else 1.0 + RESERVE * settings.again_burst):
+        if self.again_left >= (1.0 if urgent else 1.0 + PRIORITY_RESERVE * settings.again_burst):
             self.again_left -= 1
         else:
             stay = most
--- a/ladderhub/owner/decide.py
+++ b/ladderhub/owner/decide.py
@@ -45,20 +45,20 @@
 
     # --- what others may look at --------------------------------------------------------------------------
 
-    def state(self, job: int) -> tuple[str, str]:
+    def get_state(self, job: int) -> tuple[str, str]:
         """A job's state and why it is in it; ("over", "") where it is not known."""
         known = self._jobs.get(job)
         return (known.state, known.why) if known else (OVER, "")
 
-    def owes(self) -> int:
+    def count_unanswered(self) -> int:
         """How many jobs still lack their answer."""
         return sum(not job.answered for job in self._jobs.values())
 
-    def strays(self) -> int:
+    def count_orphans(self) -> int:
         """How many runs of finished jobs are still to be stopped."""
         return len(self._strays)
 
-    def may_run(self, job: int) -> bool:
+    def has_orphan(self, job: int) -> bool:
         """Whether a run of a finished job may still be alive."""
         return self._strays.has(job)
 
@@ -68,20 +68,20 @@
         """Take one event and give the actions it calls for."""
         self._out = []
         match event:
-            case t.Taken():
+            case t.Submitted():
                 self._on_taken(now_ns, event)
             case t.Adopted():
                 self._on_adopted(now_ns, event)
-            case t.MachineAnew() | t.MachineGone():
+            case t.MachineRestarted() | t.MachineGone():
                 self._on_machine(now_ns, event)
             case t.SettingsChanged(settings):
                 self._on_settings(settings)
-            case t.AsksPaused(reason):
+            case t.RequestsPaused(reason):
                 self._paused = reason
-            case t.AsksResumed():
+            case t.RequestsResumed():
                 self._on_resumed(now_ns)
-            case t.Stopping():
-                self._on_stopping(now_ns, event.now)
+            case t.SchedulerStopping():
+                self._on_stopping(now_ns, event.immediately)
             case _:
                 job = self._jobs.get(event.job)
                 if job is not None:
@@ -96,18 +96,18 @@
                 job.runs[event.run] = t.Run(event.machine, since_ns=now)
             case t.Accepted():
                 self._on_accepted(now, job, event.run)
-            case t.Unsent():
+            case t.NeverRan():
                 if job.runs.pop(event.run, None) is not None:
                     job.why = event.reason or job.why
                     if event.run == job.main_run and job.state == RUNNING:
                         self._again_placed(now, job, job.why, at_once=True)
                     else:
                         self._cleared(now, job)
-            case t.Doubtful():
+            case t.InDoubt():
                 self._on_doubtful(now, job, event)
-            case t.TurnedAway():
+            case t.PlacementRejected():
                 self._on_turned_away(now, job, event)
-            case t.Said():
+            case t.MachineReplied():
                 self._on_said(now, job, event)
             case t.Ended():
                 self._on_ended(now, job, event)
@@ -123,7 +123,7 @@
                     self._stop_runs(now, job)
             case t.Altered():
                 job.rerunnable = event.rerunnable
-            case t.Due():
+            case t.TimerFired():
                 self._on_due(now, job)
 
     # --- settings that change -------------------------------------------------------------------------------
@@ -148,13 +148,13 @@
 
     # --- taking and asking ----------------------------------------------------------------------------------
 
-    def _on_taken(self, now: int, event: t.Taken) -> None:
+    def _on_taken(self, now: int, event: t.Submitted) -> None:
         rules = self.settings.queues[event.queue]
         if event.effect is not None:
             rules = replace(rules, effect=event.effect)
         job = t.Job(
             event.job, event.queue, rules, event.rerunnable, HELD if event.held else WAITING,
-            now + rules.limit_ns, event.lasting,
+            now + rules.limit_ns, event.stop_until_confirmed,
         )  # fmt: skip
         self._jobs[event.job] = job
         self._retries.pay_in()
@@ -182,8 +182,8 @@
             self._held(job)
             return
         rules = job.rules
-        left = job.limit_ns - now - self.settings.margin_ns
-        if left <= 0 or job.asks >= rules.asks:
+        left = job.limit_ns - now - self.settings.answer_margin_ns
+        if left <= 0 or job.asks >= rules.max_requests:
             self._give_up(now, job, "no time is left" if left <= 0 else "asked as often as its queue allows")
             return
         # Danger: an unsafe job whose earlier run may live.  Nothing is asked before each is proven away.
@@ -193,7 +193,7 @@
         if self._paused:
             job.paused, job.why = True, self._paused
             self._go(job, WAITING)
-            job.until_ns = job.limit_ns - self.settings.margin_ns
+            job.until_ns = job.limit_ns - self.settings.answer_margin_ns
             self._wake(job, job.until_ns)
             return
         job.ask += 1
@@ -201,12 +201,14 @@
         self._go(job, ASKING)
         job.why = job.why or "being placed"
         effect = None if rules.effect is self.settings.queues[job.queue].effect else rules.effect
-        self._out.append(t.Ask(job.number, job.ask, min(left, rules.ask_ns), job.came_again, effect))
-        self._wake(job, job.limit_ns - self.settings.margin_ns)
+        self._out.append(
+            t.RequestPlacement(job.number, job.ask, min(left, rules.request_limit_ns), job.came_again, effect)
+        )
+        self._wake(job, job.limit_ns - self.settings.answer_margin_ns)
         job.came_again = True
 
-    def _on_turned_away(self, now: int, job: t.Job, event: t.TurnedAway) -> None:
-        if event.ask != job.ask or job.state not in (ASKING, STOPPING):
+    def _on_turned_away(self, now: int, job: t.Job, event: t.PlacementRejected) -> None:
+        if event.request_id != job.ask or job.state not in (ASKING, STOPPING):
             return
         if job.state == STOPPING:
             self._cleared(now, job)
@@ -227,7 +229,7 @@
             return
         span = self._retries.stay_ns(job, at_once)
         self._go(job, WAITING)
-        job.until_ns = min(now + span, job.limit_ns - self.settings.margin_ns)
+        job.until_ns = min(now + span, job.limit_ns - self.settings.answer_margin_ns)
         self._wake(job, job.until_ns)
 
     def _on_due(self, now: int, job: t.Job) -> None:
@@ -239,7 +241,11 @@
         else:
             if job.state == WAITING:
                 self._wake(job, job.until_ns)
-            elif job.state != HELD and not job.answered and now >= job.limit_ns - self.settings.margin_ns:
+            elif (
+                job.state != HELD
+                and not job.answered
+                and now >= job.limit_ns - self.settings.answer_margin_ns
+            ):
                 if job.state == STOPPING:
                     self._settle_unplaced(job, "cancelled; " + self._silent(job))
                 elif job.state in (DOUBT, ASKING):
@@ -275,7 +281,7 @@
         if not job.answered:
             self._settle(job, t.Answer.PLACED, f"placed on {job.runs[number].machine}")
 
-    def _on_doubtful(self, now: int, job: t.Job, event: t.Doubtful) -> None:
+    def _on_doubtful(self, now: int, job: t.Job, event: t.InDoubt) -> None:
         run = job.runs.get(event.run)
         if run is None:
             return
@@ -298,26 +304,26 @@
 
     def _chase(self, now: int, job: t.Job) -> None:
         """Ask or stop what is in doubt or unwanted, later each time; wake for the next."""
-        due = job.limit_ns - self.settings.margin_ns if not job.answered else 0
+        due = job.limit_ns - self.settings.answer_margin_ns if not job.answered else 0
         times = [due] if due > now else []
         self._out += inquire_due(now, self.settings, job, times)
         if times:
             self._wake(job, min(times))
 
-    def _on_said(self, now: int, job: t.Job, event: t.Said) -> None:
+    def _on_said(self, now: int, job: t.Job, event: t.MachineReplied) -> None:
         run = job.runs.get(event.run)
         if run is None:
             return
-        if event.word is t.Word.NEVER:
+        if event.status is t.RunStatus.NEVER:
             if event.run == job.main_run and job.state == RUNNING:
                 # A machine that forgot a run it had accepted: it was lost there.
                 self._on_ended(now, job, t.Ended(job.number, event.run, t.End.LOST))
                 return
             del job.runs[event.run]
             self._cleared(now, job)
-        elif event.word is t.Word.RUNS:
+        elif event.status is t.RunStatus.RUNS:
             self._found(now, job, event.run, run)
-        elif event.word is t.Word.STOPPING:
+        elif event.status is t.RunStatus.STOPPING:
             run.accepted = True
 
     def _found(self, now: int, job: t.Job, number: int, run: t.Run) -> None:
@@ -386,7 +392,7 @@
         limit."""
         rules = job.rules = self._new_rules(job)
         job.main_run, job.why, job.rerun = -1, why, False
-        if not job.rerunnable or job.placings > rules.reruns or self._ending:
+        if not job.rerunnable or job.placings > rules.max_reruns or self._ending:
             self._finish(job, -1, why)
             return
         job.asks, job.stay_ns, job.answered = 0, 0, False
@@ -397,8 +403,8 @@
         else:
             self._stay(now, job, at_once)
 
-    def _on_machine(self, now: int, event: t.MachineAnew | t.MachineGone) -> None:
-        anew = isinstance(event, t.MachineAnew)
+    def _on_machine(self, now: int, event: t.MachineRestarted | t.MachineGone) -> None:
+        anew = isinstance(event, t.MachineRestarted)
         if anew:
             self._out += self._strays.machine_anew(now, event.machine)
         for job in list(self._jobs.values()):
@@ -481,7 +487,7 @@
         """The one door of answers."""
         if not job.answered:
             job.answered = True
-            self._out.append(t.Settle(job.number, answer, reason))
+            self._out.append(t.ReportAnswer(job.number, answer, reason))
 
     def _finish(self, job: t.Job, status: int, reason: str) -> None:
         """The job is over; runs of it that may live are chased until their machines say that they don't."""
@@ -490,7 +496,7 @@
         self._strays.add(job, self.settings)
         self._out.append(t.Finish(job.number, status, reason))
         if job.runs:
-            self._out.append(t.Wake(job.number, 0))
+            self._out.append(t.SetTimer(job.number, 0))
 
     # --- holds and the scheduler's own end ------------------------------------------------------------------
 
@@ -534,4 +540,4 @@
     def _wake(self, job: t.Job, at_ns: int) -> None:
         if job.woken_ns < 0 or at_ns < job.woken_ns:
             job.woken_ns = at_ns
-            self._out.append(t.Wake(job.number, at_ns))
+            self._out.append(t.SetTimer(job.number, at_ns))
--- a/ladderhub/owner/inquiries.py
+++ b/ladderhub/owner/inquiries.py
@@ -10,7 +10,7 @@
 def inquire(now: int, settings: t.OwnerSettings, job: int, number: int, run: t.Run) -> t.Query | t.Stop:
     """Ask the machine what became of the run, or have it end the run where it is unwanted."""
     longer = 0 if run.asked_ns < 0 else 2 * run.span_ns
-    run.span_ns = min(settings.query_most_ns, max(settings.query_first_ns, longer))
+    run.span_ns = min(settings.max_query_interval_ns, max(settings.min_query_interval_ns, longer))
     run.asked_ns = now
     return (t.Stop if run.stop else t.Query)(job, number, run.machine)
 
@@ -25,8 +25,8 @@
         at = run.asked_ns + run.span_ns if run.asked_ns >= 0 else now
         if run.doubt and not run.stop and run.asked_ns < 0:
             # A moment for the answer to come by itself: most are late, not lost.
-            at = run.since_ns = now + job.rules.settle_ns if not run.span_ns else run.since_ns
-            run.span_ns = run.span_ns or settings.query_first_ns
+            at = run.since_ns = now + job.rules.query_delay_ns if not run.span_ns else run.since_ns
+            run.span_ns = run.span_ns or settings.min_query_interval_ns
         if at <= now:
             yield inquire(now, settings, job.number, number, run)
             at = now + run.span_ns
@@ -50,22 +50,22 @@
         """The job is over; its runs are unwanted from now on."""
         for number, run in job.runs.items():
             run.lasting = job.lasting
-            run.stop, run.span_ns = True, run.span_ns or settings.query_first_ns
+            run.stop, run.span_ns = True, run.span_ns or settings.min_query_interval_ns
             self._runs[job.number, number] = run
 
-    def machine_anew(self, now: int, machine: str) -> Iterator[t.Wake]:
+    def machine_anew(self, now: int, machine: str) -> Iterator[t.SetTimer]:
         """It came up anew: it is told at once."""
         for (number, _), run in self._runs.items():
             if run.machine == machine:
                 run.asked_ns, run.span_ns = -1, 0
-                yield t.Wake(number, now)
+                yield t.SetTimer(number, now)
 
     def handle(self, now: int, settings: t.OwnerSettings, event: t.Event) -> list[t.Action]:
         """Take an event of a job that is over."""
         match event:
-            case t.Due(job):
+            case t.TimerFired(job):
                 return self._stop_due(now, settings, job)
-            case t.Ended(job, run) | t.Unsent(job, run) | t.Said(job, run, t.Word.NEVER):
+            case t.Ended(job, run) | t.NeverRan(job, run) | t.MachineReplied(job, run, t.RunStatus.NEVER):
                 self._runs.pop((job, run), None)
         return []
 
@@ -75,10 +75,10 @@
         for (number, at), run in list(self._runs.items()):
             if number != job:
                 continue
-            if now - run.since_ns > settings.chase_ns and not run.lasting:
+            if now - run.since_ns > settings.orphan_timeout_ns and not run.lasting:
                 del self._runs[number, at]
                 continue
             if run.asked_ns < 0 or now >= run.asked_ns + run.span_ns:
                 actions.append(inquire(now, settings, number, at, run))
             times.append(run.asked_ns + run.span_ns)
-        return [*actions, t.Wake(job, min(times))] if times else actions
+        return [*actions, t.SetTimer(job, min(times))] if times else actions
--- a/ladderhub/owner/retries.py
+++ b/ladderhub/owner/retries.py
@@ -6,7 +6,7 @@
 
 from ladderhub.owner import types as t
 
-RESERVE = 0.25  # share of the budget for asking again that only the highest priority may use
+PRIORITY_RESERVE = 0.25  # share of the budget for asking again that only the highest priority may use
 
 
 class RetryBudget:
@@ -17,12 +17,12 @@
 
     def __init__(self, settings: t.OwnerSettings, seed: int) -> None:
         self._random = random.Random(seed)
-        self._left = settings.again_burst
+        self._left = settings.retry_burst
         self.change(settings)
 
     def change(self, settings: t.OwnerSettings) -> None:
         """Go on by other settings."""
-        self._share, self._burst = settings.again_share, settings.again_burst
+        self._share, self._burst = settings.retry_share, settings.retry_burst
         self._left = min(self._left, self._burst)
         self._top = max((queue.priority for queue in settings.queues), default=0)
 
@@ -34,10 +34,10 @@
         """For how long the job stays away: longer each time, spread by chance; the longest, with the reason,
         where the budget is spent."""
         rules = job.rules
-        job.stay_ns = min(rules.stay_most_ns, 2 * job.stay_ns) if job.stay_ns else rules.stay_first_ns
+        job.stay_ns = min(rules.max_backoff_ns, 2 * job.stay_ns) if job.stay_ns else rules.min_backoff_ns
         span = 0 if at_once else round(job.stay_ns * self._random.uniform(0.75, 1.25))
-        if self._left >= (1.0 if rules.priority >= self._top else 1.0 + RESERVE * self._burst):
+        if self._left >= (1.0 if rules.priority >= self._top else 1.0 + PRIORITY_RESERVE * self._burst):
             self._left -= 1
             return span
         job.why = (job.why + "; " if job.why else "") + "many jobs ask again"
-        return rules.stay_most_ns
+        return rules.max_backoff_ns
--- a/ladderhub/owner/types.py
+++ b/ladderhub/owner/types.py
@@ -20,7 +20,7 @@
     FAILED = "failed"
 
 
-class Word(Enum):
+class RunStatus(Enum):
     """What a machine says of a run: it runs, it has ended, it never ran and never will, or nothing."""
 
     RUNS = "runs"
@@ -45,41 +45,44 @@
 class QueueRules:
     """What the owner of a queue's jobs allows.
 
-    `limit_ns`: from being taken (or released from a hold) to the answer.  `ask_ns`: most for one ask.
-    `asks`: most asks a placing.  `reruns`: most placings after a first one was lost or sent away."""
+    `limit_ns`: from being taken (or released from a hold) to the answer.  `request_limit_ns`: most for
+    one ask.  `max_requests`: most asks a placing.  `max_reruns`: most placings after a first one was lost or
+    sent away."""
 
     effect: Effect
     limit_ns: int
-    ask_ns: int
+    request_limit_ns: int
     priority: int = 0
-    asks: int = 8
-    reruns: int = 100
-    stay_first_ns: int = 500_000_000
-    stay_most_ns: int = 4_000_000_000
-    settle_ns: int = 300_000_000
+    max_requests: int = 8
+    max_reruns: int = 100
+    min_backoff_ns: int = 500_000_000
+    max_backoff_ns: int = 4_000_000_000
+    query_delay_ns: int = 300_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class OwnerSettings:
-    """`again_share`: asks again that each new job pays for; `again_burst`: most that can be saved up."""
+    """`retry_share`: asks again that each new job pays for; `retry_burst`: most that can be saved up."""
 
     queues: tuple[QueueRules, ...]
-    again_share: float = 0.5
-    again_burst: float = 200.0
-    margin_ns: int = 60_000_000
-    query_first_ns: int = 200_000_000
-    query_most_ns: int = 5_000_000_000
-    chase_ns: int = 600_000_000_000
+    retry_share: float = 0.5
+    retry_burst: float = 200.0
+    answer_margin_ns: int = 60_000_000
+    min_query_interval_ns: int = 200_000_000
+    max_query_interval_ns: int = 5_000_000_000
+    orphan_timeout_ns: int = 600_000_000_000
 
     def __post_init__(self) -> None:
         for at, queue in enumerate(self.queues):
-            if queue.limit_ns <= 2 * self.margin_ns:
-                raise ValueError(f"queues[{at}].limit: must be above {2 * self.margin_ns // 1_000_000} ms")
-            if queue.ask_ns <= 0 or queue.asks < 1 or queue.reruns < 0:
+            if queue.limit_ns <= 2 * self.answer_margin_ns:
+                raise ValueError(
+                    f"queues[{at}].limit: must be above {2 * self.answer_margin_ns // 1_000_000} ms"
+                )
+            if queue.request_limit_ns <= 0 or queue.max_requests < 1 or queue.max_reruns < 0:
                 raise ValueError(f"queues[{at}]: ask must be above 0, asks at least 1, reruns not negative")
-            if not 0 < queue.stay_first_ns <= queue.stay_most_ns:
+            if not 0 < queue.min_backoff_ns <= queue.max_backoff_ns:
                 raise ValueError(f"queues[{at}]: stay_first must be above 0 and at most stay_most")
-        if self.again_share < 0 or self.again_burst < 1:
+        if self.retry_share < 0 or self.retry_burst < 1:
             raise ValueError("again_share must not be negative, again_burst at least 1")
 
 
@@ -87,7 +90,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
+class Submitted:
     """A job was committed: from now on it is owed an answer.  `rerunnable`: its person allows new
     placings."""
 
@@ -95,7 +98,9 @@
     queue: int
     rerunnable: bool = True
     held: bool = False
-    lasting: bool = False  # its runs are chased until they are proven away, however long that takes
+    stop_until_confirmed: bool = (
+        False  # its runs are chased until they are proven away, however long that takes
+    )
     effect: Effect | None = None  # where it is not its queue's: a service keeps the one it was declared with
 
 
@@ -112,7 +117,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Altered:
-    """A person changed the job; `rerunnable` as in `Taken`."""
+    """A person changed the job; `rerunnable` as in `Submitted`."""
 
     job: int
     rerunnable: bool
@@ -123,7 +128,7 @@
     """The module's offer left as this run."""
 
     job: int
-    ask: int
+    request_id: int
     run: int
     machine: str
 
@@ -137,7 +142,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unsent:
+class NeverRan:
     """The run is proven never to have run: refused, unreachable, or never sent."""
 
     job: int
@@ -146,7 +151,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Doubtful:
+class InDoubt:
     """The run's answer did not come: it may run, or may yet be accepted."""
 
     job: int
@@ -155,21 +160,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TurnedAway:
+class PlacementRejected:
     """The module's final answer to an ask was a refusal or a failure."""
 
     job: int
-    ask: int
+    request_id: int
     failed: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Said:
+class MachineReplied:
     """A machine's word on a run, to a query or a stop."""
 
     job: int
     run: int
-    word: Word
+    status: RunStatus
 
 
 @dataclass(frozen=True, slots=True)
@@ -183,7 +188,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MachineAnew:
+class MachineRestarted:
     """A machine came up anew: what it ran before is over.
 
     Which runs that are, the machine is asked: its clock and this one may differ."""
@@ -223,8 +228,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Due:
-    """A `Wake` came due."""
+class TimerFired:
+    """A `SetTimer` came due."""
 
     job: int
 
@@ -239,28 +244,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AsksPaused:
-    """Ask the module for nothing until `AsksResumed`; jobs wait, with the reason, and their limits run on."""
+class RequestsPaused:
+    """Ask the module for nothing until `RequestsResumed`; jobs wait, with the reason, and their limits run
+    on."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class AsksResumed:
+class RequestsResumed:
     """Jobs that waited for this are asked for now."""
 
 
 @dataclass(frozen=True, slots=True)
-class Stopping:
-    """The scheduler ends: settle what can be settled; `now`: no more time is left."""
+class SchedulerStopping:
+    """The scheduler ends: settle what can be settled; `immediately`: no more time is left."""
 
-    now: bool = False
+    immediately: bool = False
 
 
 Event = (
-    Taken | Adopted | Altered | Sent | Accepted | Unsent | Doubtful | TurnedAway | Said | Ended | MachineAnew
-    | MachineGone | Cancelled | Hold | Release | Rerun | Due | SettingsChanged | AsksPaused | AsksResumed
-    | Stopping
+    Submitted | Adopted | Altered | Sent | Accepted | NeverRan | InDoubt | PlacementRejected | MachineReplied
+    | Ended | MachineRestarted | MachineGone | Cancelled | Hold | Release | Rerun | TimerFired
+    | SettingsChanged | RequestsPaused | RequestsResumed | SchedulerStopping
 )  # fmt: skip
 
 
@@ -268,14 +274,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class RequestPlacement:
     """Hand the job to the module as a new task.  `effect`: what it was taken as, where that is not what its
     queue says by now."""
 
     job: int
-    ask: int
+    request_id: int
     budget_ns: int
-    came_again: bool
+    is_retry: bool
     effect: Effect | None = None
 
 
@@ -284,7 +290,7 @@
     """Tell the module that this ask is no longer wanted."""
 
     job: int
-    ask: int
+    request_id: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -310,13 +316,13 @@
     """Hand the run to the module as a task that is open already."""
 
     job: int
-    ask: int
+    request_id: int
     run: int
     machine: str
 
 
 @dataclass(frozen=True, slots=True)
-class Settle:
+class ReportAnswer:
     """The placing's one answer."""
 
     job: int
@@ -334,14 +340,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wake:
-    """Give a `Due` at or after this moment; only the latest of a job counts."""
+class SetTimer:
+    """Give a `TimerFired` at or after this moment; only the latest of a job counts."""
 
     job: int
     at_ns: int
 
 
-Action = Ask | Withdraw | Query | Stop | Adopt | Settle | Finish | Wake
+Action = RequestPlacement | Withdraw | Query | Stop | Adopt | ReportAnswer | Finish | SetTimer
 
 
 @dataclass(slots=True)
@@ -377,7 +383,7 @@
     until_ns: int = 0
     answered: bool = False
     hold_wanted: bool = False
-    paused: bool = False  # it waits for `AsksResumed`
+    paused: bool = False  # it waits for `RequestsResumed`
     rerun: bool = False
     came_again: bool = False
     main_run: int = -1
--- a/ladderhub/server/intake.py
+++ b/ladderhub/server/intake.py
@@ -86,5 +86,5 @@
             "taken", job=record.id, queue=site.settings.queues.all[record.queue], owner=record.owner,
             revision=record.revision,
         )  # fmt: skip
-        event = own.Taken(record.number, record.queue, record.rerunnable, held, lasting, effect)
+        event = own.Submitted(record.number, record.queue, record.rerunnable, held, lasting, effect)
         site.tell_owner(event)
--- a/ladderhub/server/members.py
+++ b/ladderhub/server/members.py
@@ -98,7 +98,7 @@
         self._site.tell_module(api.MachineList(kind, version, tuple(known)))
         self._tell_nodes(kind, entries, anew)
         for name in anew:
-            self._site.tell_owner(own.MachineAnew(name))
+            self._site.tell_owner(own.MachineRestarted(name))
         gone = {entry.name for entry in entries if entry.stage == "gone"}
         if kind is api.ListKind.FULL:
             gone |= set(self._ready) - {entry.name for entry in entries}
--- a/ladderhub/server/owning.py
+++ b/ladderhub/server/owning.py
@@ -20,8 +20,8 @@
         self._site, self._placing, self._words = site, placing, words
         self._wakes: dict[int, Timer] = {}
         site.metrics.gauge("jobs_live", "Jobs not finished", lambda: len(site.jobs.live))
-        site.metrics.gauge("jobs_owed", "Jobs without an answer", site.owner.owes)
-        site.metrics.gauge("strays", "Unwanted runs not yet stopped", site.owner.strays)
+        site.metrics.gauge("jobs_owed", "Jobs without an answer", site.owner.count_unanswered)
+        site.metrics.gauge("strays", "Unwanted runs not yet stopped", site.owner.count_orphans)
 
     # --- as a part ------------------------------------------------------------------------------------------
 
@@ -29,10 +29,10 @@
         return
 
     def stop(self, now: bool) -> None:
-        self._site.tell_owner(own.Stopping(now))
+        self._site.tell_owner(own.SchedulerStopping(now))
 
     def owes(self) -> int:
-        return self._site.owner.owes()
+        return self._site.owner.count_unanswered()
 
     def close(self) -> None:
         return
@@ -40,7 +40,7 @@
     # --- what the owner decides -----------------------------------------------------------------------------
 
     def carry(self, now: int, action: own.Action) -> None:
-        if isinstance(action, own.Wake):
+        if isinstance(action, own.SetTimer):
             old = self._wakes.pop(action.job, None)
             if old is not None:
                 old.cancel()
@@ -54,14 +54,14 @@
 
     def _carry_job(self, now: int, record: JobRecord, action: own.Action) -> None:
         match action:
-            case own.Ask():
+            case own.RequestPlacement():
                 self._placing.ask(now, record, action)
             case own.Withdraw():
                 if record.task >= 0:
                     self._site.tell_module(api.TaskWithdrawn(record.task))
             case own.Adopt(_, ask, run, machine):
                 self._placing.adopt(now, record, ask, run, machine)
-            case own.Settle(_, answer, reason):
+            case own.ReportAnswer(_, answer, reason):
                 record.answer, record.answer_ns, record.comment = answer.value, now, reason
                 self._site.metrics.answered(answer)
                 record.revision = revision = self._site.revision.number
@@ -86,25 +86,25 @@
 
     def _wake(self, job: int) -> None:
         self._wakes.pop(job, None)
-        self._site.tell_owner(own.Due(job))
+        self._site.tell_owner(own.TimerFired(job))
 
     def after(self, event: own.Event) -> None:
         """State, place and reason as `qstat` gives them."""
-        if isinstance(event, own.AsksResumed):
+        if isinstance(event, own.RequestsResumed):
             for waiting in list(self._site.jobs.live.values()):
                 self._show(waiting)
             return
         number = getattr(event, "job", None)
         record = self._site.jobs.live.get(number) if number is not None else None
         if record is None:
-            if number is not None and isinstance(event, own.Said | own.Ended | own.Unsent):
+            if number is not None and isinstance(event, own.MachineReplied | own.Ended | own.NeverRan):
                 for hears in self._site.on_news:
                     hears(number)
             return
         self._show(record)
 
     def _show(self, record: JobRecord) -> None:
-        state, why = self._site.owner.state(record.number)
+        state, why = self._site.owner.get_state(record.number)
         ran = record.state == "R"
         record.state, record.substate = _LETTERS.get(state, ("Q", 14 if state == "asking" else 16))
         placed = self._site.runs.placed_at(record.number)
--- a/ladderhub/server/placing.py
+++ b/ladderhub/server/placing.py
@@ -29,11 +29,11 @@
 
     # --- what others want placed ----------------------------------------------------------------------------
 
-    def ask(self, now: int, record: JobRecord, action: own.Ask) -> None:
+    def ask(self, now: int, record: JobRecord, action: own.RequestPlacement) -> None:
         """Hand one ask of the job to the module, in place of an earlier one."""
         self.leave(record)
-        task = self._site.runs.new_task(record, action.ask, now + action.budget_ns)
-        event = self._asked_event(record, task, action.budget_ns, action.came_again, action.effect)
+        task = self._site.runs.new_task(record, action.request_id, now + action.budget_ns)
+        event = self._asked_event(record, task, action.budget_ns, action.is_retry, action.effect)
         self._site.tell_module(event)
 
     def adopt(self, now: int, record: JobRecord, ask: int, run: int, machine: str) -> None:
@@ -93,7 +93,7 @@
                 asked = self._site.runs.tasks.get(task)
                 if asked is not None:
                     failed = isinstance(action, api.Fail)
-                    self._site.tell_owner(own.TurnedAway(asked.record.number, asked.ask, failed))
+                    self._site.tell_owner(own.PlacementRejected(asked.record.number, asked.ask, failed))
             case api.Abort(task, attempt):
                 for out in self._site.runs.of_task(task):
                     if out.attempt == attempt and out.call is not None:
@@ -173,9 +173,9 @@
         )  # fmt: skip
         if result.outcome in NEVER_RAN:
             self._site.runs.forget(record.number, run)
-            self._site.tell_owner(own.Unsent(record.number, run, text))
+            self._site.tell_owner(own.NeverRan(record.number, run, text))
         else:
-            self._site.tell_owner(own.Doubtful(record.number, run, text))
+            self._site.tell_owner(own.InDoubt(record.number, run, text))
         self.tell_end(out, result.outcome, result.reason, concluded=False)
 
     def tell_end(self, out: OutRun, outcome: api.Outcome, reason: api.Reason, concluded: bool) -> None:
--- a/ladderhub/server/services.py
+++ b/ladderhub/server/services.py
@@ -229,7 +229,7 @@
         if copy is None:
             return
         del self._record_of[copy]
-        proven = not self._site.owner.may_run(record.number)
+        proven = not self._site.owner.has_orphan(record.number)
         if not proven:
             self._doubtful[record.number], record.pinned = copy, True
         end = {"placed": t.End.DONE, "refused": t.End.REFUSED}.get(record.answer, t.End.LOST)
@@ -239,7 +239,7 @@
 
     def _news(self, number: int) -> None:
         copy = self._doubtful.get(number)
-        if copy is not None and not self._site.owner.may_run(number):
+        if copy is not None and not self._site.owner.has_orphan(number):
             del self._doubtful[number]
             self._site.jobs.by_number[number].pinned = False
             self._tell(t.Proven(copy))
--- a/ladderhub/server/settings/ranges.py
+++ b/ladderhub/server/settings/ranges.py
@@ -9,7 +9,7 @@
 from ladderhub.server.settings.checks import Checker
 from ladderhub.server.settings.schema import Policy, Queue
 
-LIMIT_LEAST_NS = 2 * OwnerSettings(()).margin_ns
+LIMIT_LEAST_NS = 2 * OwnerSettings(()).answer_margin_ns
 
 
 def check_ranges(policy: Policy, checker: Checker) -> None:
--- a/ladderhub/server/settings/terms.py
+++ b/ladderhub/server/settings/terms.py
@@ -126,13 +126,13 @@
     return QueueRules(
         effect=klass.effect,
         limit_ns=checker.span(f"{path}.limit", queue.limit),
-        ask_ns=klass.deadline_ns,
+        request_limit_ns=klass.deadline_ns,
         priority=queue.priority,
-        asks=queue.asks,
-        reruns=queue.reruns,
-        stay_first_ns=checker.span(f"{path}.stay_first", queue.stay_first),
-        stay_most_ns=checker.span(f"{path}.stay_most", queue.stay_most),
-        settle_ns=checker.span(f"{path}.settle", queue.settle),
+        max_requests=queue.asks,
+        max_reruns=queue.reruns,
+        min_backoff_ns=checker.span(f"{path}.stay_first", queue.stay_first),
+        max_backoff_ns=checker.span(f"{path}.stay_most", queue.stay_most),
+        query_delay_ns=checker.span(f"{path}.settle", queue.settle),
     )
 
 
--- a/ladderhub/server/site.py
+++ b/ladderhub/server/site.py
@@ -149,7 +149,7 @@
 
         Danger: a task that it had been asked for before is sent anew, by settings that may be old."""
         self.held = reason
-        self._owner(own.AsksPaused(reason))
+        self._owner(own.RequestsPaused(reason))
 
     def resume(self) -> None:
         """The decision module hears of what came meanwhile, and jobs that were held back are asked for."""
@@ -158,7 +158,7 @@
         with self.board.one_turn():
             for event in held_back:
                 self._module(event)
-            self._owner(own.AsksResumed())
+            self._owner(own.RequestsResumed())
 
     def _fault(self, event: Any, fault: Exception) -> None:
         self.metrics.troubles += 1
--- a/ladderhub/server/status.py
+++ b/ladderhub/server/status.py
@@ -135,7 +135,8 @@
             Attr("server_state", state), Attr("total_jobs", str(len(records))),
             Attr("state_count", _counts(records)), Attr("default_queue", site.settings.default_queue),
             Attr("nodes", str(len(listed.entries))), Attr("list_version", str(listed.version)),
-            Attr("owed", str(site.owner.owes())), *(attr for rows in site.status_rows for attr in rows()),
+            Attr("owed", str(site.owner.count_unanswered())),
+            *(attr for rows in site.status_rows for attr in rows()),
         ])  # fmt: skip
         answer(Reply(0, n.R_STATUS, rows=[row]))
 
--- a/ladderhub/server/words.py
+++ b/ladderhub/server/words.py
@@ -60,19 +60,19 @@
 
     def _said(self, action: own.Query | own.Stop, reply: Reply | None) -> None:
         if reply is None:
-            self._site.tell_owner(own.Said(action.job, action.run, own.Word.SILENT))
+            self._site.tell_owner(own.MachineReplied(action.job, action.run, own.RunStatus.SILENT))
         elif reply.code == n.UNKNOWN_JOB:
             out = self._site.runs.get(action.job, action.run)
             self._site.runs.forget(action.job, action.run)
             if out is not None:
                 self._placing.tell_end(out, api.Outcome.LOST, api.Reason.UNKNOWN, concluded=True)
-            self._site.tell_owner(own.Said(action.job, action.run, own.Word.NEVER))
+            self._site.tell_owner(own.MachineReplied(action.job, action.run, own.RunStatus.NEVER))
         elif reply.code == n.BAD_STATE and isinstance(action, own.Stop):
             self.ask(own.Query(action.job, action.run, action.machine))
         elif reply.code:
-            self._site.tell_owner(own.Said(action.job, action.run, own.Word.SILENT))
+            self._site.tell_owner(own.MachineReplied(action.job, action.run, own.RunStatus.SILENT))
         elif isinstance(action, own.Stop):
-            self._site.tell_owner(own.Said(action.job, action.run, own.Word.STOPPING))
+            self._site.tell_owner(own.MachineReplied(action.job, action.run, own.RunStatus.STOPPING))
         else:
             row = reply.rows[0] if reply.rows else None
             if row is not None and row.get("job_state") == "F":
@@ -82,7 +82,7 @@
                 out = self._site.runs.get(action.job, action.run)
                 if out is not None:
                     out.placed = True
-                self._site.tell_owner(own.Said(action.job, action.run, own.Word.RUNS))
+                self._site.tell_owner(own.MachineReplied(action.job, action.run, own.RunStatus.RUNS))
 
     def obituary(self, request: Request) -> None:
         """A node reports the end of a run; what is not known here is only remembered for a while."""
--- a/tests/hard_cases/test_nodes.py
+++ b/tests/hard_cases/test_nodes.py
@@ -92,7 +92,7 @@
     ]
     for job in jobs:
         assert world.wait(job, "F").get("placement") == "placed"
-    assert daemon.owner.owes() == 0 and not world.troubles
+    assert daemon.owner.count_unanswered() == 0 and not world.troubles
     judged(world)
 
 
--- a/tests/peers/test_revisions.py
+++ b/tests/peers/test_revisions.py
@@ -177,7 +177,7 @@
     told: list[str] = []
     monkeypatch.setattr(service, "hold", told.append)
     monkeypatch.setattr(service.revisions, "_last_ns", world.loop.now_ns() - 9_000_000_000)
-    service._site.tell_owner(own.Due(1))
+    service._site.tell_owner(own.TimerFired(1))
     assert told and "stood still" in told[0]
 
 
--- a/tests/server/test_settings_change.py
+++ b/tests/server/test_settings_change.py
@@ -161,7 +161,7 @@
     # The later one was taken as safe and is placed anew; nobody can say whether the first one runs.
     world.until(lambda: world.row(second).get("exec_host").partition("/")[0] not in ("", node), 40)
     site = world.daemons["alpha"].site
-    state, why = site.owner.state(site.jobs.by_id[first].number)
+    state, why = site.owner.get_state(site.jobs.by_id[first].number)
     assert (state, world.row(first).get("run_count")) == ("running", "1") and "is not known" in why
 
 
@@ -265,7 +265,7 @@
         change(world, edit, number)
         if number == 6:
             world.crash("node-1")
-    world.until(lambda: not world.daemons["alpha"].owner.owes(), 40)
+    world.until(lambda: not world.daemons["alpha"].owner.count_unanswered(), 40)
     world.run_for(S)
     answers = [world.row(job).get("placement") for job in jobs]
     assert answers.count("placed") > len(jobs) // 2
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -21,7 +21,9 @@
 
 def settings(**options: Any) -> t.OwnerSettings:
     queues = tuple(
-        t.QueueRules(effect, LIMIT, 3 * S, priority, asks=50, stay_first_ns=200 * MS, stay_most_ns=S)
+        t.QueueRules(
+            effect, LIMIT, 3 * S, priority, max_requests=50, min_backoff_ns=200 * MS, max_backoff_ns=S
+        )
         for effect, priority in ((Effect.SAFE, 0), (Effect.UNSAFE, 2))
     )
     return t.OwnerSettings(queues, **options)
@@ -34,7 +36,7 @@
 def asked(queue: int, **options: Any) -> Owner:
     """An owner with one job that the module was asked for."""
     owner = Owner(settings(**options), 1)
-    assert only(owner.handle(0, t.Taken(1, queue)), t.Ask)
+    assert only(owner.handle(0, t.Submitted(1, queue)), t.RequestPlacement)
     return owner
 
 
@@ -44,29 +46,29 @@
 def test_an_unsafe_job_with_a_run_in_doubt_is_not_asked_for_again() -> None:
     owner = asked(UNSAFE)
     owner.handle(0, t.Sent(1, 1, 1, "a"))
-    owner.handle(S, t.Doubtful(1, 1, "a: lost"))
-    actions = owner.handle(S, t.TurnedAway(1, 1, failed=True))
-    assert not only(actions, t.Ask) and owner.state(1)[0] == "doubt"
-    assert only(owner.handle(2 * S, t.Due(1)), t.Query) == [t.Query(1, 1, "a")]
-    later = owner.handle(3 * S, t.Said(1, 1, t.Word.SILENT))
-    assert not only(later, t.Ask)
-    owner.handle(4 * S, t.Said(1, 1, t.Word.NEVER))
-    assert owner.state(1)[0] == "waiting"
-    assert only(owner.handle(6 * S, t.Due(1)), t.Ask)
+    owner.handle(S, t.InDoubt(1, 1, "a: lost"))
+    actions = owner.handle(S, t.PlacementRejected(1, 1, failed=True))
+    assert not only(actions, t.RequestPlacement) and owner.get_state(1)[0] == "doubt"
+    assert only(owner.handle(2 * S, t.TimerFired(1)), t.Query) == [t.Query(1, 1, "a")]
+    later = owner.handle(3 * S, t.MachineReplied(1, 1, t.RunStatus.SILENT))
+    assert not only(later, t.RequestPlacement)
+    owner.handle(4 * S, t.MachineReplied(1, 1, t.RunStatus.NEVER))
+    assert owner.get_state(1)[0] == "waiting"
+    assert only(owner.handle(6 * S, t.TimerFired(1)), t.RequestPlacement)
 
 
 def test_a_job_in_doubt_at_its_limit_fails_and_one_that_never_ran_is_refused() -> None:
     owner = asked(UNSAFE)
     owner.handle(0, t.Sent(1, 1, 1, "a"))
-    owner.handle(S, t.Doubtful(1, 1))
-    owner.handle(S, t.TurnedAway(1, 1, failed=True))
-    settled = only(owner.handle(LIMIT, t.Due(1)), t.Settle)
+    owner.handle(S, t.InDoubt(1, 1))
+    owner.handle(S, t.PlacementRejected(1, 1, failed=True))
+    settled = only(owner.handle(LIMIT, t.TimerFired(1)), t.ReportAnswer)
     assert settled[0].answer is t.Answer.FAILED and "may have run at a" in settled[0].reason
     clean = asked(UNSAFE)
     clean.handle(0, t.Sent(1, 1, 1, "a"))
-    clean.handle(S, t.Unsent(1, 1, "a: no room"))
-    clean.handle(S, t.TurnedAway(1, 1))
-    settled = only(clean.handle(LIMIT, t.Due(1)), t.Settle)
+    clean.handle(S, t.NeverRan(1, 1, "a: no room"))
+    clean.handle(S, t.PlacementRejected(1, 1))
+    settled = only(clean.handle(LIMIT, t.TimerFired(1)), t.ReportAnswer)
     assert settled[0].answer is t.Answer.REFUSED and "a: no room" in settled[0].reason
 
 
@@ -74,16 +76,16 @@
     # Guards against a copy that lives on for ever behind a cut, after its job has its answer.
     owner = asked(UNSAFE)
     owner.handle(0, t.Sent(1, 1, 1, "a"))
-    owner.handle(S, t.Doubtful(1, 1))
-    owner.handle(S, t.TurnedAway(1, 1, failed=True))
-    owner.handle(LIMIT, t.Due(1))
-    assert owner.strays() == 1
+    owner.handle(S, t.InDoubt(1, 1))
+    owner.handle(S, t.PlacementRejected(1, 1, failed=True))
+    owner.handle(LIMIT, t.TimerFired(1))
+    assert owner.count_orphans() == 1
     now = LIMIT
     for _ in range(5):
         now += 10 * S
-        assert only(owner.handle(now, t.Due(1)), t.Stop) == [t.Stop(1, 1, "a")]
-    owner.handle(now, t.Said(1, 1, t.Word.NEVER))
-    assert owner.strays() == 0
+        assert only(owner.handle(now, t.TimerFired(1)), t.Stop) == [t.Stop(1, 1, "a")]
+    owner.handle(now, t.MachineReplied(1, 1, t.RunStatus.NEVER))
+    assert owner.count_orphans() == 0
 
 
 def test_a_lost_run_of_a_restarted_machine_is_placed_again_only_on_its_word() -> None:
@@ -91,22 +93,22 @@
     owner.handle(0, t.Sent(1, 1, 1, "a"))
     owner.handle(S, t.Accepted(1, 1))
     gone = owner.handle(2 * S, t.MachineGone("a"))
-    assert not only(gone, t.Ask) and "not known" in owner.state(1)[1]
-    anew = owner.handle(3 * S, t.MachineAnew("a"))
-    assert only(anew, t.Query) and not only(anew, t.Ask)
-    assert owner.state(1)[0] == "running"
-    owner.handle(4 * S, t.Said(1, 1, t.Word.NEVER))
-    assert only(owner.handle(5 * S, t.Due(1)), t.Ask)
+    assert not only(gone, t.RequestPlacement) and "not known" in owner.get_state(1)[1]
+    anew = owner.handle(3 * S, t.MachineRestarted("a"))
+    assert only(anew, t.Query) and not only(anew, t.RequestPlacement)
+    assert owner.get_state(1)[0] == "running"
+    owner.handle(4 * S, t.MachineReplied(1, 1, t.RunStatus.NEVER))
+    assert only(owner.handle(5 * S, t.TimerFired(1)), t.RequestPlacement)
 
 
 def test_many_that_ask_again_share_one_budget_and_the_highest_priority_has_a_reserve() -> None:
     # Guards against a retry storm: without the budget each of 100 jobs would ask again at once.
-    owner = Owner(settings(again_share=0.0, again_burst=20), 1)
+    owner = Owner(settings(retry_share=0.0, retry_burst=20), 1)
     waits: dict[int, int] = {}
     for job in range(1, 101):
-        owner.handle(0, t.Taken(job, SAFE if job <= 90 else UNSAFE))
+        owner.handle(0, t.Submitted(job, SAFE if job <= 90 else UNSAFE))
     for job in range(1, 101):
-        (wake,) = only(owner.handle(0, t.TurnedAway(job, 1)), t.Wake)
+        (wake,) = only(owner.handle(0, t.PlacementRejected(job, 1)), t.SetTimer)
         waits[job] = wake.at_ns
     soon = [job for job, at in waits.items() if at < 300 * MS]
     assert len([job for job in soon if job <= 90]) == 15
@@ -115,29 +117,29 @@
 
 def test_a_held_job_is_not_asked_for_and_its_limit_begins_at_its_release() -> None:
     owner = Owner(settings(), 1)
-    assert not only(owner.handle(0, t.Taken(1, SAFE, held=True)), t.Ask)
-    assert not owner.handle(100 * S, t.Due(1))
-    assert only(owner.handle(100 * S, t.Release(1)), t.Ask)
+    assert not only(owner.handle(0, t.Submitted(1, SAFE, held=True)), t.RequestPlacement)
+    assert not owner.handle(100 * S, t.TimerFired(1))
+    assert only(owner.handle(100 * S, t.Release(1)), t.RequestPlacement)
 
 
 def test_stopping_refuses_what_waits_and_leaves_what_runs() -> None:
     owner = Owner(settings(), 1)
     for job in (1, 2, 3):
-        owner.handle(0, t.Taken(job, SAFE, held=job == 3))
+        owner.handle(0, t.Submitted(job, SAFE, held=job == 3))
     owner.handle(0, t.Sent(1, 1, 1, "a"))
     owner.handle(0, t.Accepted(1, 1))
-    first = only(owner.handle(S, t.Stopping()), t.Settle)
+    first = only(owner.handle(S, t.SchedulerStopping()), t.ReportAnswer)
     assert [(each.job, each.answer) for each in first] == [(3, t.Answer.REFUSED)]
-    last = only(owner.handle(2 * S, t.Stopping(now=True)), t.Settle)
-    assert [each.job for each in last] == [2] and owner.owes() == 0
-    assert owner.state(1)[0] == "running"
+    last = only(owner.handle(2 * S, t.SchedulerStopping(immediately=True)), t.ReportAnswer)
+    assert [each.job for each in last] == [2] and owner.count_unanswered() == 0
+    assert owner.get_state(1)[0] == "running"
 
 
 def test_settings_that_make_no_sense_are_told_by_field() -> None:
     with pytest.raises(ValueError, match=r"queues\[0\].limit"):
         t.OwnerSettings((t.QueueRules(Effect.SAFE, 1, 1),))
     with pytest.raises(ValueError, match="again_burst"):
-        settings(again_burst=0)
+        settings(retry_burst=0)
 
 
 # --- simulation -------------------------------------------------------------------------------------------
@@ -189,7 +191,7 @@
 
     def do(self, action: t.Action) -> None:
         match action:
-            case t.Ask(job, ask, budget, _):
+            case t.RequestPlacement(job, ask, budget, _):
                 self.asks[job] = ask
                 assert budget <= 3 * S
                 self.later(MS, lambda: self.offer(job, ask, self.now + budget, 0))
@@ -201,7 +203,7 @@
             case t.Query(job, run, machine) | t.Stop(job, run, machine):
                 stop = isinstance(action, t.Stop)
                 self.later(self.chance.randrange(1, 50) * MS, lambda: self.word(job, run, machine, stop))
-            case t.Settle(job, answer, _):
+            case t.ReportAnswer(job, answer, _):
                 told = self.answers.setdefault(job, [])
                 told.append(answer)
                 # A placing that was lost is followed by one that is owed an answer of its own.
@@ -213,13 +215,13 @@
                 assert self.answers.get(job), f"job {job} over without an answer"
                 assert job not in self.finished
                 self.finished[job] = self.now
-            case t.Wake(job, at):
+            case t.SetTimer(job, at):
                 self.wakes[job] = at
                 self.later(max(0, at - self.now), lambda: self.due(job, at))
 
     def due(self, job: int, at: int) -> None:
         if self.wakes.get(job) == at:
-            self.tell(t.Due(job))
+            self.tell(t.TimerFired(job))
 
     def copies(self, job: int) -> list[tuple[int, int]]:
         return [key for key in self.alive if key[0] == job]
@@ -230,7 +232,7 @@
         if self.asks.get(job) != ask:
             return
         if tries == 3 or self.now >= until - 40 * MS:
-            self.tell(t.TurnedAway(job, ask))
+            self.tell(t.PlacementRejected(job, ask))
             return
         run = self.runs[job] = self.runs.get(job, 0) + 1
         node = self.chance.choice("abcd")
@@ -244,25 +246,25 @@
             self.tell(event)
             if doubtful and self.queues[job] == UNSAFE:
                 if self.asks.get(job) == ask:
-                    self.tell(t.TurnedAway(job, ask, failed=True))
+                    self.tell(t.PlacementRejected(job, ask, failed=True))
             elif not isinstance(event, t.Accepted):
                 self.offer(job, ask, until, tries + 1)
 
         if fate < 0.3:
-            self.later(span, lambda: over(t.Unsent(job, run, f"{node}: no room"), False))
+            self.later(span, lambda: over(t.NeverRan(job, run, f"{node}: no room"), False))
         elif fate < 0.7:
             self.later(span, lambda: self.commit(job, run, node))
             self.later(span + MS, lambda: over(self.outcome(job, run), False))
         elif fate < 0.9:  # committed, and the answer is lost
             self.later(span, lambda: self.commit(job, run, node))
-            self.later(span + 900 * MS, lambda: over(t.Doubtful(job, run, f"{node}: lost"), True))
+            self.later(span + 900 * MS, lambda: over(t.InDoubt(job, run, f"{node}: lost"), True))
         else:  # the commit itself is lost, or crawls in much later
             crawl = span + self.chance.randrange(1, 3000) * MS
             self.later(crawl, lambda: self.commit(job, run, node))
-            self.later(span, lambda: over(t.Doubtful(job, run, f"{node}: lost"), True))
+            self.later(span, lambda: over(t.InDoubt(job, run, f"{node}: lost"), True))
 
     def outcome(self, job: int, run: int) -> t.Event:
-        return t.Accepted(job, run) if (job, run) in self.alive else t.Unsent(job, run, "called off")
+        return t.Accepted(job, run) if (job, run) in self.alive else t.NeverRan(job, run, "called off")
 
     def commit(self, job: int, run: int, node: str) -> None:
         key = (job, run)
@@ -290,22 +292,22 @@
     def word(self, job: int, run: int, node: str, stop: bool) -> None:
         key = (job, run)
         if self.now < self.silent_until[node] or self.chance.random() < 0.2:
-            self.tell(t.Said(job, run, t.Word.SILENT))
+            self.tell(t.MachineReplied(job, run, t.RunStatus.SILENT))
         elif key in self.alive:
             if stop:
                 self.later(5 * MS, lambda: self.end(key, t.End.KILLED))
-            self.tell(t.Said(job, run, t.Word.STOPPING if stop else t.Word.RUNS))
+            self.tell(t.MachineReplied(job, run, t.RunStatus.STOPPING if stop else t.RunStatus.RUNS))
         elif key in self.ended:
-            self.tell(t.Said(job, run, t.Word.ENDED))
+            self.tell(t.MachineReplied(job, run, t.RunStatus.ENDED))
         else:
             self.barred.add(key)
-            self.tell(t.Said(job, run, t.Word.NEVER))
+            self.tell(t.MachineReplied(job, run, t.RunStatus.NEVER))
 
     # --- what happens to it -----------------------------------------------------------------------------
 
     def submit(self, job: int, queue: int) -> None:
         self.queues[job], self.taken[job] = queue, self.now
-        self.tell(t.Taken(job, queue))
+        self.tell(t.Submitted(job, queue))
 
     def silence(self, node: str, span: int) -> None:
         self.silent_until[node] = self.now + span
@@ -314,7 +316,7 @@
         for key in [key for key, at in self.alive.items() if at == node]:
             del self.alive[key]
             self.losses[key[0]] = self.losses.get(key[0], 0) + 1
-        self.later(500 * MS, lambda: self.tell(t.MachineAnew(node)))
+        self.later(500 * MS, lambda: self.tell(t.MachineRestarted(node)))
 
 
 @pytest.mark.parametrize("seed", range(40))
@@ -333,7 +335,7 @@
     sim.run(60 * S)
     sim.run(200 * S)  # no more faults: everything comes to rest
     assert set(sim.finished) == set(sim.queues)
-    assert not sim.alive and sim.owner.strays() == 0
+    assert not sim.alive and sim.owner.count_orphans() == 0
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -346,4 +348,4 @@
         sim.later(at * S, lambda: sim.restart(sim.chance.choice("abcd")))
     sim.run(250 * S)
     assert set(sim.finished) == set(sim.queues) and sim.losses
-    assert not sim.alive and sim.owner.strays() == 0
+    assert not sim.alive and sim.owner.count_orphans() == 0
--- a/tests/test_owner_changes.py
+++ b/tests/test_owner_changes.py
@@ -25,15 +25,15 @@
 
 def test_a_job_that_waits_keeps_its_limit_and_asks_and_a_new_one_has_the_new_rules() -> None:
     owner = asked(SAFE)
-    owner.handle(S, changed(SAFE, limit_ns=2 * S, ask_ns=S, asks=1))
-    owner.handle(S, t.TurnedAway(1, 1))
-    (again,) = only(owner.handle(5 * S, t.Due(1)), t.Ask)
+    owner.handle(S, changed(SAFE, limit_ns=2 * S, request_limit_ns=S, max_requests=1))
+    owner.handle(S, t.PlacementRejected(1, 1))
+    (again,) = only(owner.handle(5 * S, t.TimerFired(1)), t.RequestPlacement)
     assert again.budget_ns == 3 * S
-    (ask,) = only(owner.handle(5 * S, t.Taken(2, SAFE)), t.Ask)
+    (ask,) = only(owner.handle(5 * S, t.Submitted(2, SAFE)), t.RequestPlacement)
     assert ask.budget_ns == S
-    assert only(owner.handle(7 * S, t.Due(2)), t.Settle)
-    assert not only(owner.handle(7 * S, t.Due(1)), t.Settle)
-    assert only(owner.handle(LIMIT, t.Due(1)), t.Settle)
+    assert only(owner.handle(7 * S, t.TimerFired(2)), t.ReportAnswer)
+    assert not only(owner.handle(7 * S, t.TimerFired(1)), t.ReportAnswer)
+    assert only(owner.handle(LIMIT, t.TimerFired(1)), t.ReportAnswer)
 
 
 def test_the_next_placing_of_a_job_has_the_new_limit_and_its_old_effect() -> None:
@@ -41,39 +41,44 @@
     owner.handle(0, t.Sent(1, 1, 1, "a"))
     owner.handle(S, t.Accepted(1, 1))
     owner.handle(2 * S, changed(UNSAFE, limit_ns=LATER, effect=Effect.SAFE))
-    actions = owner.handle(3 * S, t.Ended(1, 1, t.End.LOST)) + owner.handle(4 * S, t.Due(1))
-    (again,) = only(actions, t.Ask)
+    actions = owner.handle(3 * S, t.Ended(1, 1, t.End.LOST)) + owner.handle(4 * S, t.TimerFired(1))
+    (again,) = only(actions, t.RequestPlacement)
     assert again.effect is Effect.UNSAFE
-    owner.handle(4 * S, t.Sent(1, again.ask, 2, "b"))
-    owner.handle(5 * S, t.Doubtful(1, 2, "b: lost"))
-    owner.handle(5 * S, t.TurnedAway(1, again.ask, failed=True))
-    assert owner.state(1)[0] == "doubt"  # as unsafe work is, whatever its queue says by now
-    assert not only(owner.handle(LIMIT + 2 * S, t.Due(1)), t.Settle)
-    assert only(owner.handle(3 * S + LATER, t.Due(1)), t.Settle)
+    owner.handle(4 * S, t.Sent(1, again.request_id, 2, "b"))
+    owner.handle(5 * S, t.InDoubt(1, 2, "b: lost"))
+    owner.handle(5 * S, t.PlacementRejected(1, again.request_id, failed=True))
+    assert owner.get_state(1)[0] == "doubt"  # as unsafe work is, whatever its queue says by now
+    assert not only(owner.handle(LIMIT + 2 * S, t.TimerFired(1)), t.ReportAnswer)
+    assert only(owner.handle(3 * S + LATER, t.TimerFired(1)), t.ReportAnswer)
 
 
 def test_a_new_queue_is_served_and_a_job_may_be_taken_by_another_effect_than_its_queue() -> None:
     owner = asked(SAFE)
     more = (*settings().queues, t.QueueRules(Effect.KEYED, LIMIT, 3 * S))
     owner.handle(S, t.SettingsChanged(replace(settings(), queues=more)))
-    assert only(owner.handle(S, t.Taken(2, 2)), t.Ask)[0].effect is None
-    assert only(owner.handle(S, t.Taken(3, SAFE, effect=Effect.UNSAFE)), t.Ask)[0].effect is Effect.UNSAFE
+    assert only(owner.handle(S, t.Submitted(2, 2)), t.RequestPlacement)[0].effect is None
+    assert (
+        only(owner.handle(S, t.Submitted(3, SAFE, effect=Effect.UNSAFE)), t.RequestPlacement)[0].effect
+        is Effect.UNSAFE
+    )
 
 
 def test_asks_that_pause_begin_when_they_resume_and_limits_run_on() -> None:
     owner = asked(SAFE)
-    owner.handle(0, t.AsksPaused("catching up"))
-    assert not only(owner.handle(0, t.Taken(2, SAFE)) + owner.handle(0, t.Taken(3, UNSAFE)), t.Ask)
-    assert owner.state(2) == ("waiting", "catching up")
-    owner.handle(0, t.TurnedAway(1, 1))
-    assert not only(owner.handle(2 * S, t.Due(1)), t.Ask)
+    owner.handle(0, t.RequestsPaused("catching up"))
+    assert not only(
+        owner.handle(0, t.Submitted(2, SAFE)) + owner.handle(0, t.Submitted(3, UNSAFE)), t.RequestPlacement
+    )
+    assert owner.get_state(2) == ("waiting", "catching up")
+    owner.handle(0, t.PlacementRejected(1, 1))
+    assert not only(owner.handle(2 * S, t.TimerFired(1)), t.RequestPlacement)
     assert only(owner.handle(S, t.Cancelled(3)), t.Finish)
-    owner.handle(2 * S, t.Taken(4, SAFE, held=True))
-    resumed = only(owner.handle(3 * S, t.AsksResumed()), t.Ask)
-    assert [ask.job for ask in resumed] == [1, 2] and owner.state(2)[1] == "being placed"
-    owner.handle(4 * S, t.AsksPaused("again"))
-    owner.handle(4 * S, t.Taken(5, SAFE))
-    (settled,) = only(owner.handle(4 * S + LIMIT, t.Due(5)), t.Settle)
+    owner.handle(2 * S, t.Submitted(4, SAFE, held=True))
+    resumed = only(owner.handle(3 * S, t.RequestsResumed()), t.RequestPlacement)
+    assert [ask.job for ask in resumed] == [1, 2] and owner.get_state(2)[1] == "being placed"
+    owner.handle(4 * S, t.RequestsPaused("again"))
+    owner.handle(4 * S, t.Submitted(5, SAFE))
+    (settled,) = only(owner.handle(4 * S + LIMIT, t.TimerFired(5)), t.ReportAnswer)
     assert settled.answer is t.Answer.REFUSED and "again" in settled.reason
 
 
@@ -89,26 +94,26 @@
     for job in range(1, 200):
         now += chance.randrange(300) * MS
         queue = chance.choice((SAFE, UNSAFE))
-        events: list[t.Event] = [t.Taken(job, queue)]
+        events: list[t.Event] = [t.Submitted(job, queue)]
         limits[job] = now + rules[queue]
         if chance.random() < 0.3:
             rules[queue] = chance.randrange(2, 30) * S
-            events.append(changed(queue, limit_ns=rules[queue], asks=chance.randrange(1, 9)))
+            events.append(changed(queue, limit_ns=rules[queue], max_requests=chance.randrange(1, 9)))
             rules[1 - queue] = LIMIT
-        events.append(chance.choice((t.AsksPaused("held"), t.AsksResumed(), t.AsksResumed())))
-        events += [t.TurnedAway(other, 1) for other in sorted(out) if chance.random() < 0.3]
-        events += [t.Due(other) for other in sorted(limits) if other not in answered]
+        events.append(chance.choice((t.RequestsPaused("held"), t.RequestsResumed(), t.RequestsResumed())))
+        events += [t.PlacementRejected(other, 1) for other in sorted(out) if chance.random() < 0.3]
+        events += [t.TimerFired(other) for other in sorted(limits) if other not in answered]
         for event in events:
             for action in owner.handle(now, event):
-                if isinstance(action, t.Settle):
+                if isinstance(action, t.ReportAnswer):
                     assert action.job not in answered
                     answered[action.job] = now
-                elif isinstance(action, t.Ask):
+                elif isinstance(action, t.RequestPlacement):
                     out.add(action.job)
                     assert now + action.budget_ns <= limits[action.job]
     for job in [job for job in limits if job not in answered]:
-        owner.handle(limits[job], t.Due(job))
-        assert owner.state(job)[0] == "over"
+        owner.handle(limits[job], t.TimerFired(job))
+        assert owner.get_state(job)[0] == "over"
 
 
 def test_updates_go_on_under_a_budget_that_changes() -> None:
