--- a/ladderhub/commands/client.py
+++ b/ladderhub/commands/client.py
@@ -72,7 +72,7 @@
     if not colon:
         return text, DEFAULT_PORT
     if not port.isdigit() or not 0 < int(port) < 65536:
-        raise UnreachedError("not a server", where=text, meant="HOST or HOST:PORT")
+        raise UnreachedError("not a server", where=text, expected="HOST or HOST:PORT")
     return host, int(port)
 
 
--- a/ladderhub/directory/service.py
+++ b/ladderhub/directory/service.py
@@ -88,7 +88,7 @@
         """What it has spent; processor time is that of the whole process."""
         return DirectoryStats(
             processor_seconds=time.process_time(),
-            traffic=self.traffic.rows(),
+            traffic=self.traffic.to_rows(),
             rows=sum(entry.stage != "gone" for entry in self.entries.values()),
             changes=self.version - self._first_version,
             rounds=self.rounds,
--- a/ladderhub/board.py
+++ b/ladderhub/dispatcher.py
@@ -19,17 +19,17 @@
     def handle(self, now_ns: int, event: Any, /) -> Sequence[Any]: ...
 
 
-class Carrier(Protocol):
+class ActionExecutor(Protocol):
     """Carries out what one decider says, action by action, in order."""
 
-    def carry(self, now_ns: int, action: Any, /) -> None: ...
+    def execute(self, now_ns: int, action: Any, /) -> None: ...
 
-    def after(self, event: Any, /) -> None:
+    def on_handled(self, event: Any, /) -> None:
         """All that this event called for has been handed on."""
 
 
 @dataclass(frozen=True, slots=True)
-class AtHandling:
+class DeferredEvent:
     """An event with a span that counts from the moment in which it is handled; `make` is given that moment.
 
     Danger: between two looks at the clock the process may stand still, and the decider would take a span
@@ -38,15 +38,15 @@
     make: Callable[[int], Any]
 
 
-class Board:
-    """Deciders and their carriers.  `add` gives the call by which a decider hears of an event."""
+class EventDispatcher:
+    """Deciders and their carriers.  `register` gives the call by which a decider hears of an event."""
 
     def __init__(self, now_ns: Callable[[], int], on_fault: Callable[[Any, Exception], None]) -> None:
         self._now_ns, self._on_fault = now_ns, on_fault
-        self._events: deque[tuple[Decider, Carrier, Any]] = deque()
+        self._events: deque[tuple[Decider, ActionExecutor, Any]] = deque()
         self._busy = False
 
-    def add(self, decider: Decider, carrier: Carrier) -> Callable[[Any], None]:
+    def register(self, decider: Decider, carrier: ActionExecutor) -> Callable[[Any], None]:
         def tell(event: Any) -> None:
             self._events.append((decider, carrier, event))
             self._drain()
@@ -54,7 +54,7 @@
         return tell
 
     @contextmanager
-    def one_turn(self) -> Iterator[None]:
+    def batch(self) -> Iterator[None]:
         """Events told within it stand side by side in the queue: nothing is heard between them."""
         was_busy, self._busy = self._busy, True
         try:
@@ -72,11 +72,11 @@
                 decider, carrier, event = self._events.popleft()
                 try:
                     now = self._now_ns()
-                    if isinstance(event, AtHandling):
+                    if isinstance(event, DeferredEvent):
                         event = event.make(now)
                     for action in decider.handle(now, event):
-                        carrier.carry(now, action)
-                    carrier.after(event)
+                        carrier.execute(now, action)
+                    carrier.on_handled(event)
                 except Exception as fault:
                     # One event's fault must not keep the others from being heard; a job that it leaves
                     # without an answer gets one at its limit.
--- a/ladderhub/errors/__init__.py
+++ b/ladderhub/errors/__init__.py
@@ -6,6 +6,6 @@
 The base is light, since `qsub` loads it: no `typing`, no `dataclasses`.
 """
 
-from ladderhub.errors.base import LadderhubError, all_types
+from ladderhub.errors.base import LadderhubError, iter_error_types
 
-__all__ = ["LadderhubError", "all_types"]
+__all__ = ["LadderhubError", "iter_error_types"]
--- a/ladderhub/errors/tally.py
+++ b/ladderhub/errors/tally.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Spoilt:
+class MalformedInputCount:
     """What is told: so many of a kind from a peer since the last time.  Peer «others»: there were many."""
 
     kind: str
@@ -19,7 +19,7 @@
     count: int
 
 
-class Tally:
+class MalformedInputTally:
     """Hostile senders choose what is counted, so neither kinds nor peers may grow this without end."""
 
     def __init__(self) -> None:
@@ -34,13 +34,13 @@
         peers = self._fresh.setdefault(kind, Counter())
         peers[peer if peer in peers or len(peers) < PEERS_MOST else "others"] += 1
 
-    def due(self, now_ns: int) -> list[Spoilt]:
+    def take_due(self, now_ns: int) -> list[MalformedInputCount]:
         """What came since the last time, at most once a second."""
         if not self._fresh or (self._told_ns is not None and now_ns - self._told_ns < TOLD_NS):
             return []
         self._told_ns = now_ns
         fresh, self._fresh = self._fresh, {}
         return [
-            Spoilt(kind, peer, count) for kind, peers in sorted(fresh.items())
+            MalformedInputCount(kind, peer, count) for kind, peers in sorted(fresh.items())
             for peer, count in sorted(peers.items())
         ]  # fmt: skip
--- a/ladderhub/lab/nodehost.py
+++ b/ladderhub/lab/nodehost.py
@@ -88,7 +88,7 @@
     loop.run()
     out = Path(sys.argv[2])
     out.write_bytes(msgspec.json.encode({job: (came[job], ran[job]) for job in ran}))
-    stats = HostStats(time.process_time(), traffic.rows(), len(plan.nodes), len(ran))
+    stats = HostStats(time.process_time(), traffic.to_rows(), len(plan.nodes), len(ran))
     out.with_name(out.name + ".stats").write_bytes(msgspec.json.encode(stats))
 
 
--- a/ladderhub/lab/scale/children.py
+++ b/ladderhub/lab/scale/children.py
@@ -80,7 +80,9 @@
         """Start a process whose output goes to a log of its own; `ScaleError` where that is one too many."""
         running = sum(child.alive() for child in self.members) + 2  # this process and the guard too
         if running > self._processes_most:
-            raise ScaleError(f"{running} processes run", where=name, meant=f"at most {self._processes_most}")
+            raise ScaleError(
+                f"{running} processes run", where=name, expected=f"at most {self._processes_most}"
+            )
         path = self._folder / f"{name}.log"
         with open(path, "ab") as log:
             process = subprocess.Popen(list(argv), stdin=subprocess.PIPE, stdout=log, stderr=log)
@@ -99,7 +101,7 @@
         """`ScaleError` where a process has ended on its own, or all together take more than they may."""
         if time.monotonic() - self._began_s > self._seconds_most:
             raise ScaleError(
-                "the run takes too long", where=str(self._folder), meant=f"{self._seconds_most:g} s"
+                "the run takes too long", where=str(self._folder), expected=f"{self._seconds_most:g} s"
             )
         total = memory_bytes(os.getpid()) + memory_bytes(self._guard.pid)
         for child in self.members:
@@ -111,7 +113,7 @@
         if total > self._memory_most:
             held = f"{total / _GIB:.1f} GiB are held"
             raise ScaleError(
-                held, where=str(self._folder), meant=f"{self._memory_most / _GIB:.0f} GiB at most"
+                held, where=str(self._folder), expected=f"{self._memory_most / _GIB:.0f} GiB at most"
             )
 
     def pause(self, seconds: float) -> None:
--- a/ladderhub/lab/scale/hollow_schedulers.py
+++ b/ladderhub/lab/scale/hollow_schedulers.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from ladderhub.board import Board
+from ladderhub.dispatcher import EventDispatcher
 from ladderhub.lab.ports import free_port
 from ladderhub.lab.scale.children import raise_descriptor_limit
 from ladderhub.lab.scale.measure import Counted, counted_by
@@ -131,9 +131,9 @@
         self.carrier = PeerCarrier(
             loop, identity.address, plan.cluster, self.view, lambda change: None, lambda row: None, traffic
         )
-        self._board = Board(loop.now_ns, self._on_fault)
+        self._dispatcher = EventDispatcher(loop.now_ns, self._on_fault)
         self.leases = LeaseHolder(self._lease_settings(), identity.seed, loop.now_ns())
-        self._tell_leases = self._board.add(self.leases, self.carrier)
+        self._tell_leases = self._dispatcher.register(self.leases, self.carrier)
         self.follower = RevisionFollower()
 
     def _lease_settings(self) -> LeaseSettings:
@@ -148,7 +148,7 @@
         """Join the group."""
         self.carrier.tell_leases = self._tell_leases
         self.carrier.on_tick = self._on_tick
-        self.carrier.join(self._board.add(self.view, self.carrier))
+        self.carrier.join(self._dispatcher.register(self.view, self.carrier))
         self._start_revisions()
 
     def _start_revisions(self) -> None:
@@ -158,7 +158,7 @@
         )
         revisions = Revisions(settings, None, identity.seed)
         self._revision_carrier = RevisionCarrier(self.carrier, revisions, self.follower)
-        self._revision_carrier.join(self._board.add(revisions, self._revision_carrier))
+        self._revision_carrier.join(self._dispatcher.register(revisions, self._revision_carrier))
 
     def _on_tick(self) -> None:
         names = sorted(entry.name for entry in self.view.members())
--- a/ladderhub/lab/scale/plan.py
+++ b/ladderhub/lab/scale/plan.py
@@ -184,26 +184,30 @@
     size = plan.size
     for name in DIMENSIONS:
         if size.value(name) < 0:
-            raise PlanError(f"found {size.value(name):g}", where=f"{source}: size.{name}", meant="0 or more")
+            raise PlanError(
+                f"found {size.value(name):g}", where=f"{source}: size.{name}", expected="0 or more"
+            )
     for name in ("nodes", "starts_per_s", "running", "teams"):
         if size.value(name) <= 0:
-            raise PlanError("found 0", where=f"{source}: size.{name}", meant="more than 0")
+            raise PlanError("found 0", where=f"{source}: size.{name}", expected="more than 0")
     if not 1 <= plan.real_schedulers <= size.schedulers:
         found = f"found {plan.real_schedulers} of {size.schedulers}"
-        raise PlanError(found, where=f"{source}: real_schedulers", meant="1 up to size.schedulers")
+        raise PlanError(found, where=f"{source}: real_schedulers", expected="1 up to size.schedulers")
     total = sum(each.share for each in plan.load.classes.values())
     if abs(total - 1) > 1e-6:
         raise PlanError(
-            f"found a sum of {total:g}", where=f"{source}: load.classes", meant="shares that add to 1"
+            f"found a sum of {total:g}", where=f"{source}: load.classes", expected="shares that add to 1"
         )
     if set(plan.load.classes) - set(plan.settings.get("queues", {})):
         raise PlanError(
-            "found a class without a queue", where=f"{source}: load.classes", meant="a queue for each"
+            "found a class without a queue", where=f"{source}: load.classes", expected="a queue for each"
         )
     if len(plan.slopes.shares) < 3 or plan.slopes.held_at not in plan.slopes.shares:
-        raise PlanError("found no line", where=f"{source}: slopes", meant="three shares, held_at one of them")
+        raise PlanError(
+            "found no line", where=f"{source}: slopes", expected="three shares, held_at one of them"
+        )
     if plan.churn.speedup <= 0:
-        raise PlanError("found 0", where=f"{source}: churn.speedup", meant="more than 0")
+        raise PlanError("found 0", where=f"{source}: churn.speedup", expected="more than 0")
     return plan
 
 
--- a/ladderhub/lab/scale/stages.py
+++ b/ladderhub/lab/scale/stages.py
@@ -111,7 +111,7 @@
     try:
         return msgspec.json.decode(file.read_bytes(), type=Prediction)
     except (FileNotFoundError, msgspec.MsgspecError) as fault:
-        raise ScaleError(str(fault), where=str(file), meant="what the stage `predict` writes") from None
+        raise ScaleError(str(fault), where=str(file), expected="what the stage `predict` writes") from None
 
 
 def held_against(prediction: Prediction, run: RunFigures) -> list[PredictionError]:
--- a/ladderhub/peers/carrier.py
+++ b/ladderhub/peers/carrier.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from ladderhub.errors.base import SYSTEM, LadderhubError
-from ladderhub.errors.tally import Spoilt, Tally
+from ladderhub.errors.tally import MalformedInputCount, MalformedInputTally
 from ladderhub.loop import Loop, Timer, parse_address
 from ladderhub.loop.datagram import Datagrams
 from ladderhub.loop.stream import Address
@@ -53,11 +53,11 @@
         cluster: str,
         view: MembershipView,
         on_change: Callable[[MemberChanged], None],
-        on_spoilt: Callable[[Spoilt], None],
+        on_spoilt: Callable[[MalformedInputCount], None],
         traffic: Traffic | None = None,
     ) -> None:
         self.loop, self.view = loop, view
-        self.tally = Tally()
+        self.tally = MalformedInputTally()
         self.traffic = traffic or Traffic()
         self._cluster_tag = cluster_tag(cluster)
         self._on_change, self._on_spoilt = on_change, on_spoilt
@@ -113,13 +113,13 @@
             tell(received, frame.name)
 
     def _report_spoilt(self) -> None:
-        for row in self.tally.due(self.loop.now_ns()):
+        for row in self.tally.take_due(self.loop.now_ns()):
             self._on_spoilt(row)
         self._spoilt_timer = self.loop.call_later(SPOILT_REPORT_INTERVAL_NS, self._report_spoilt)
 
     # --- as a carrier -----------------------------------------------------------------------------------
 
-    def carry(self, now_ns: int, action: Action) -> None:
+    def execute(self, now_ns: int, action: Action) -> None:
         if isinstance(action, SendMessage):
             self.send(action.address, action.message)
         elif isinstance(action, WakeAt):
@@ -145,7 +145,7 @@
     def _tick(self) -> None:
         self._tell_view(Tick())
 
-    def after(self, event: Event) -> None:
+    def on_handled(self, event: Event) -> None:
         if self._members_changed:
             self._members_changed = False
             if self.on_members is not None:
--- a/ladderhub/peers/revisions.py
+++ b/ladderhub/peers/revisions.py
@@ -80,7 +80,7 @@
 
     # --- as a carrier -----------------------------------------------------------------------------------
 
-    def carry(self, now_ns: int, action: Action) -> None:
+    def execute(self, now_ns: int, action: Action) -> None:
         if isinstance(action, WakeAt):
             if self._tick_timer is not None:
                 self._tick_timer.cancel()
@@ -96,7 +96,7 @@
     def _tick(self) -> None:
         self._tell(Tick())
 
-    def after(self, event: Event) -> None:
+    def on_handled(self, event: Event) -> None:
         return
 
     def _store(self) -> None:
--- a/ladderhub/platform/config.py
+++ b/ladderhub/platform/config.py
@@ -82,7 +82,7 @@
     """Read the file that PROXY_CONFIG names; PROXY_NAME and PROXY_LISTEN go before what it says."""
     path = environment.get("PROXY_CONFIG", "")
     if not path:
-        raise ConfigError("not set", where="PROXY_CONFIG", meant="the path of the configuration file")
+        raise ConfigError("not set", where="PROXY_CONFIG", expected="the path of the configuration file")
     try:
         data = Path(path).read_bytes()
     except OSError as fault:
@@ -93,7 +93,7 @@
         raise ConfigError(str(fault), where=path) from None
     listen = environment.get("PROXY_LISTEN") or file.listen
     if not listen:
-        raise ConfigError("not set", where="PROXY_LISTEN", meant="the address for owners, HOST:PORT,")
+        raise ConfigError("not set", where="PROXY_LISTEN", expected="the address for owners, HOST:PORT,")
     try:
         settings, names = read_settings(file.settings), Names(file.settings)
         limits, prices = part_of(file.settings, "ceilings"), part_of(file.settings, "prices")
@@ -103,7 +103,7 @@
     settings = replace(settings, unreached_count=False)
     if file.limits.sockets < SOCKETS_LEAST:
         where, meant = f"{path}: limits.sockets", f"at least {SOCKETS_LEAST}"
-        raise ConfigError(f"found {file.limits.sockets}", where=where, meant=meant)
+        raise ConfigError(f"found {file.limits.sockets}", where=where, expected=meant)
     return Config(
         name=environment.get("PROXY_NAME") or file.name,
         listen=address_of(listen, "PROXY_LISTEN"),
@@ -124,4 +124,4 @@
     try:
         return value if isinstance(value, int) else int(value or "0", 16)
     except ValueError:
-        raise ConfigError(f"found {value!r}", where=f"{path}: seed", meant="a hex number") from None
+        raise ConfigError(f"found {value!r}", where=f"{path}: seed", expected="a hex number") from None
--- a/ladderhub/platform/tasks.py
+++ b/ladderhub/platform/tasks.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Sequence
 
 from ladderhub import interface as api
-from ladderhub.board import AtHandling, Board
+from ladderhub.dispatcher import DeferredEvent, EventDispatcher
 from ladderhub.decide import Scheduler
 from ladderhub.decide.records import ANSWER_MARGIN_NS
 from ladderhub.loop import Loop
@@ -50,7 +50,7 @@
     def __init__(self, loop: Loop, module: Scheduler, report: Report) -> None:
         self._loop, self._report, self.module = loop, report, module
         self._timed = _Timed(module)
-        self._tell = Board(loop.now_ns, self._fault).add(self._timed, self)
+        self._tell = EventDispatcher(loop.now_ns, self._fault).register(self._timed, self)
         self._by_number: dict[int, Task] = {}
         self._by_id: dict[str, Task] = {}  # open and standing
         self.placing = Placing(loop, ANSWER_MARGIN_NS, self._place_now)
@@ -96,14 +96,14 @@
 
     def _place_now(self, task: Task) -> None:
         task.queued = False
-        self._tell(AtHandling(lambda now: self._asked_event(task, now)))
+        self._tell(DeferredEvent(lambda now: self._asked_event(task, now)))
 
     def adopt(self, line: OwnerLine, asked: Asked) -> Task:
         """A task that stands already and is now this scheduler's to look after."""
         task = self._new(line, asked, self._loop.now_ns())  # nobody waits for it
         task.leg.step(Step.HANDED)
         task.offer = offer = self._offer(task, asked.machine, task.until_ns)
-        self._tell(AtHandling(lambda now: api.TaskOpen(self._asked_event(task, now), asked.machine)))
+        self._tell(DeferredEvent(lambda now: api.TaskOpen(self._asked_event(task, now), asked.machine)))
         self._report.count("adopted")
         self._links.hold(offer)
         return task
@@ -199,7 +199,7 @@
 
     # --- what the module decides --------------------------------------------------------------------------
 
-    def carry(self, now: int, action: api.Action) -> None:
+    def execute(self, now: int, action: api.Action) -> None:
         match action:
             case api.SetTimer(at, timer):
                 self._loop.call_at(at, self._tell, api.TimerFired(timer))
@@ -221,7 +221,7 @@
             case _:
                 self._report.line("not_carried_out", action=type(action).__name__)
 
-    def after(self, event: api.Event) -> None:
+    def on_handled(self, event: api.Event) -> None:
         self._heard(event)
 
     def _heard(self, event: object) -> None:
--- a/ladderhub/server/jobs.py
+++ b/ladderhub/server/jobs.py
@@ -30,7 +30,7 @@
             self._next = 1
         except ValueError:
             where, meant = str(self._path), "the next free job number"
-            raise SpoolError("not a number", where=where, meant=meant) from None
+            raise SpoolError("not a number", where=where, expected=meant) from None
         self._reserved = self._next
 
     def take(self) -> int:
--- a/ladderhub/server/kept_names.py
+++ b/ladderhub/server/kept_names.py
@@ -38,7 +38,7 @@
     except FileNotFoundError:
         return settings
     except (msgspec.MsgspecError, SettingsError) as fault:
-        raise SpoolError(str(fault), where=str(path), meant="what the scheduler left") from None
+        raise SpoolError(str(fault), where=str(path), expected="what the scheduler left") from None
 
 
 class KeptNames:
--- a/ladderhub/server/owning.py
+++ b/ladderhub/server/owning.py
@@ -39,7 +39,7 @@
 
     # --- what the owner decides -----------------------------------------------------------------------------
 
-    def carry(self, now: int, action: own.Action) -> None:
+    def execute(self, now: int, action: own.Action) -> None:
         if isinstance(action, own.SetTimer):
             old = self._wakes.pop(action.job, None)
             if old is not None:
@@ -88,7 +88,7 @@
         self._wakes.pop(job, None)
         self._site.tell_owner(own.TimerFired(job))
 
-    def after(self, event: own.Event) -> None:
+    def on_handled(self, event: own.Event) -> None:
         """State, place and reason as `qstat` gives them."""
         if isinstance(event, own.RequestsResumed):
             for waiting in list(self._site.jobs.live.values()):
--- a/ladderhub/server/peers.py
+++ b/ladderhub/server/peers.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ladderhub.errors.tally import Spoilt
+from ladderhub.errors.tally import MalformedInputCount
 from ladderhub.interface import SeatShare
 from ladderhub.membership import (
     LeaseHolder,
@@ -49,7 +49,7 @@
         except FileNotFoundError:
             state = _PeerState()
         except msgspec.MsgspecError as fault:
-            raise SpoolError(str(fault), where=str(self._path), meant="what the scheduler left") from None
+            raise SpoolError(str(fault), where=str(self._path), expected="what the scheduler left") from None
         # Grows also where the wall clock was set back; saved before any peer learns of it.
         self.life = max(time.time_ns(), state.life + 1)
         self.peers = state.peers
@@ -153,7 +153,7 @@
             self._start_leases(carrier)
         life = self._state_file.life
         site.log.info("peers", life=life, address=settings.advertise, seeds=len(settings.seeds))
-        carrier.join(site.board.add(self.view, carrier))
+        carrier.join(site.dispatcher.register(self.view, carrier))
         site.loop.call_later(SAVE_INTERVAL_NS, self._save)
 
     def _start_leases(self, carrier: PeerCarrier) -> None:
@@ -162,7 +162,7 @@
         self.leases = LeaseHolder(self._lease_settings(), site.settings.file.seed, site.loop.now_ns())
         site.tell_module(SeatShare((), -1))
         carrier.on_leases, carrier.on_tick = self._on_leases, self._on_tick
-        self._tell_leases = site.board.add(self.leases, carrier)
+        self._tell_leases = site.dispatcher.register(self.leases, carrier)
         carrier.tell_leases = self._tell_leases
         site.metrics.gauge("seats_held", "Slots of the cold budget that may be used", self._usable_slots)
 
@@ -219,5 +219,5 @@
         log = self._site.log.warning if change.change in _WARNED_CHANGES else self._site.log.info
         log("member", change=change.change.value, member=change.name, life=change.life, cause=change.cause)
 
-    def _log_spoilt(self, row: Spoilt) -> None:
+    def _log_spoilt(self, row: MalformedInputCount) -> None:
         self._site.log.warning("spoilt", kind=row.kind, peer=row.peer, count=row.count)
--- a/ladderhub/server/placing.py
+++ b/ladderhub/server/placing.py
@@ -79,7 +79,7 @@
 
     # --- what the module decides ----------------------------------------------------------------------------
 
-    def carry(self, now: int, action: api.Action) -> None:
+    def execute(self, now: int, action: api.Action) -> None:
         # Also where a list or a lease made the decision: what it leads to is work on jobs.
         self._site.processor.run(Cause.JOBS, self._carry, now, action)
 
@@ -107,7 +107,7 @@
             case _:
                 self._site.log.debug("not carried out", action=type(action).__name__)
 
-    def after(self, event: api.Event) -> None:
+    def on_handled(self, event: api.Event) -> None:
         if isinstance(event, api.TaskWithdrawn):
             self._site.runs.tasks.pop(event.task, None)
         elif isinstance(event, api.SettingsChanged):
--- a/ladderhub/server/policyrequests.py
+++ b/ladderhub/server/policyrequests.py
@@ -90,7 +90,7 @@
         if text not in kept:
             numbers = sorted(map(int, kept))
             meant = f"one of {numbers[0]} to {numbers[-1]}" if numbers else "none is known here yet: 0"
-            raise PolicyError(f"found {text!r}", where=where, meant=meant)
+            raise PolicyError(f"found {text!r}", where=where, expected=meant)
         return kept[text]
 
     def _revision_row(self, text: str) -> Row:
--- a/ladderhub/server/revisions.py
+++ b/ladderhub/server/revisions.py
@@ -101,8 +101,8 @@
     def start(self) -> None:
         carrier = RevisionCarrier(self._peers.carrier, self.revisions, self)
         self._carrier = carrier
-        tell = self._site.board.add(self.revisions, carrier)
-        self._tell = self._site.processor.bound(Cause.CONFIGURATION, tell)
+        tell = self._site.dispatcher.register(self.revisions, carrier)
+        self._tell = self._site.processor.bind(Cause.CONFIGURATION, tell)
         self._site.before_event = self._check_clock
         carrier.join(self._tell)
 
--- a/ladderhub/server/services.py
+++ b/ladderhub/server/services.py
@@ -77,7 +77,7 @@
     def __init__(self, site: Site, intake: Intake, members: Members) -> None:
         self._site, self._intake, self._members = site, intake, members
         self.rollouts = Rollouts(site.settings.rollouts)
-        self._tell = site.board.add(self.rollouts, self)
+        self._tell = site.dispatcher.register(self.rollouts, self)
         self._books: dict[str, Book] = {}
         self._record_of: dict[int, JobRecord] = {}  # copy -> its job
         self._copy_of: dict[int, int] = {}  # job number -> copy
@@ -114,7 +114,7 @@
         except FileNotFoundError:
             return
         except msgspec.MsgspecError as fault:
-            raise SpoolError(str(fault), where=str(self._path), meant="what the scheduler left") from None
+            raise SpoolError(str(fault), where=str(self._path), expected="what the scheduler left") from None
         for book in books:
             if not self._site.settings.queues.is_known(book.queue):
                 where = f"{self._path}: service {book.name}"
@@ -150,7 +150,7 @@
 
     # --- what the decisions say -----------------------------------------------------------------------------
 
-    def carry(self, now: int, action: t.Action) -> None:
+    def execute(self, now: int, action: t.Action) -> None:
         if self._site.stopping:
             return
         match action:
@@ -169,7 +169,7 @@
             case t.Keep(service):
                 self._keep(service)
 
-    def after(self, event: t.Event) -> None:
+    def on_handled(self, event: t.Event) -> None:
         return
 
     def _start(self, now: int, action: t.StartCopy) -> None:
@@ -292,21 +292,21 @@
         attrs = [attr for attr in request.attrs if attr.name not in own_names]
         if not name or not all(char.isalnum() or char in "._-" for char in name):
             meant = "a name of letters, digits, '.', '_' and '-'"
-            raise ServiceError(f"found {name!r}", where="service", meant=meant)
+            raise ServiceError(f"found {name!r}", where="service", expected=meant)
         if not self.settled:
             why = "took up its services anew, and nodes have not all said what they run"
             raise ServiceError(f"{site.name} {why}")
         queue = request.get("queue") or site.settings.default_queue
         if not site.settings.queues.is_open(queue):
             meant = f"one of {', '.join(site.settings.queues.current)}"
-            raise ServiceError(f"found {queue!r}", where="queue", meant=meant)
+            raise ServiceError(f"found {queue!r}", where="queue", expected=meant)
         book = self._books.get(name)
         if book is not None and queue != book.queue:
             raise ServiceError(f"queue: found {queue!r}; {book.queue} is meant, a service stays in its queue")
         words = [busy.value for busy in t.IfBusy]
         if request.get("if_busy", "refuse") not in words:
             meant = f"one of {', '.join(words)}"
-            raise ServiceError(f"found {request.get('if_busy')!r}", where="if_busy", meant=meant)
+            raise ServiceError(f"found {request.get('if_busy')!r}", where="if_busy", expected=meant)
         script = request.get("script").encode("utf-8", "surrogateescape")
         if not script:
             raise ServiceError("script: found nothing; what each copy runs is meant")
@@ -382,7 +382,7 @@
                 found["failed_share"] = float(text)
             except ValueError:
                 meant = "a share above 0 and at most 1"
-                raise ServiceError(f"found {text!r}", where=where, meant=meant) from None
+                raise ServiceError(f"found {text!r}", where=where, expected=meant) from None
         else:
             known = "down, surplus, wave, spacing, healthy, failures and priority"
             raise ServiceError(f"{where}: unknown; {known} are known")
--- a/ladderhub/server/settings/checks.py
+++ b/ladderhub/server/settings/checks.py
@@ -26,7 +26,9 @@
     """Nanoseconds of a span with its unit."""
     match = _SPAN.fullmatch(text.strip())
     if match is None:
-        raise SettingsError(f"found {text!r}", where=where, meant="a time with its unit, as 800ms, 6s or 5m,")
+        raise SettingsError(
+            f"found {text!r}", where=where, expected="a time with its unit, as 800ms, 6s or 5m,"
+        )
     return round(float(match[1]) * _UNITS[match[2]])
 
 
@@ -52,7 +54,7 @@
 
     def wrong(self, path: str, found: object, meant: str) -> SettingsError:
         """The fault of a field."""
-        return SettingsError(f"found {found!r}", where=f"{self.source}: {path}", meant=meant)
+        return SettingsError(f"found {found!r}", where=f"{self.source}: {path}", expected=meant)
 
     def require(self, holds: bool, path: str, found: object, meant: str) -> None:
         """Raise the fault of a field unless this holds."""
--- a/ladderhub/server/settings/policy.py
+++ b/ladderhub/server/settings/policy.py
@@ -26,7 +26,7 @@
     except msgspec.ValidationError as fault:
         raise wrong_shape(fault, source) from None
     except msgspec.DecodeError as fault:
-        raise SettingsError(str(fault), where=source, meant="a policy as JSON") from None
+        raise SettingsError(str(fault), where=source, expected="a policy as JSON") from None
 
 
 def policy_difference(old: bytes, new: bytes) -> list[str]:
--- a/ladderhub/server/site.py
+++ b/ladderhub/server/site.py
@@ -19,7 +19,7 @@
 from ladderhub.owner import Owner
 from ladderhub.owner import types as own
 from ladderhub.pbs.batch import Attr
-from ladderhub.board import Board, Carrier
+from ladderhub.dispatcher import ActionExecutor, EventDispatcher
 from ladderhub.server.jobs import JobRecord, JobTable
 from ladderhub.server.lasting import FolderLock
 from ladderhub.server.metrics import Metrics
@@ -82,7 +82,7 @@
         self.links = NodeLinks(loop, settings.connect_ns, self.traffic.of(NODE))
         self.module = Scheduler(settings.module, settings.file.seed)
         self.owner = Owner(settings.owner, settings.file.seed)
-        self.board = Board(loop.now_ns, self._fault)
+        self.dispatcher = EventDispatcher(loop.now_ns, self._fault)
         self.stopping = False
         self.advertise = ""
         self.on_finished: list[Callable[[JobRecord], None]] = []
@@ -95,10 +95,10 @@
         self._module: Callable[[api.Event], None] = _nobody
         self._owner: Callable[[own.Event], None] = _nobody
 
-    def join(self, module: Carrier, owner: Carrier) -> None:
+    def join(self, module: ActionExecutor, owner: ActionExecutor) -> None:
         """These carry out what the two modules decide."""
-        self._module = self.board.add(self.module, module)
-        self._owner = self.board.add(self.owner, owner)
+        self._module = self.dispatcher.register(self.module, module)
+        self._owner = self.dispatcher.register(self.owner, owner)
 
     def tell_module(self, event: api.Event) -> None:
         self._before_event()
@@ -127,7 +127,7 @@
         All of it happens in one turn of the board, and at once where nothing is being decided: what was told
         before is decided by the old settings and bears their revision, all after it by the new ones."""
         self._changes.append((loaded, PolicyRevision(number, digest)))
-        with self.board.one_turn():
+        with self.dispatcher.batch():
             self._module(api.SettingsChanged(loaded.module))
             self._owner(own.SettingsChanged(loaded.owner))
 
@@ -155,7 +155,7 @@
         """The decision module hears of what came meanwhile, and jobs that were held back are asked for."""
         self.held = ""
         held_back, self._held_back = self._held_back, []
-        with self.board.one_turn():
+        with self.dispatcher.batch():
             for event in held_back:
                 self._module(event)
             self._owner(own.RequestsResumed())
--- a/ladderhub/usage/processor.py
+++ b/ladderhub/usage/processor.py
@@ -57,7 +57,7 @@
         finally:
             self.switch(before)
 
-    def bound(self, cause: Cause, call: Callable[P, R]) -> Callable[P, R]:
+    def bind(self, cause: Cause, call: Callable[P, R]) -> Callable[P, R]:
         """The call, always within a section of this cause."""
 
         def bound_call(*args: P.args, **options: P.kwargs) -> R:
--- a/ladderhub/usage/traffic.py
+++ b/ladderhub/usage/traffic.py
@@ -28,7 +28,7 @@
     def __init__(self) -> None:
         self.bytes_in = self.bytes_out = self.messages_in = self.messages_out = 0
 
-    def row(self) -> TrafficRow:
+    def to_row(self) -> TrafficRow:
         return TrafficRow(
             bytes_in=self.bytes_in,
             bytes_out=self.bytes_out,
@@ -56,9 +56,9 @@
             count = self._message_kinds[type(message)] = self.of(kind_of(type(message)))
         return count
 
-    def rows(self) -> dict[str, TrafficRow]:
+    def to_rows(self) -> dict[str, TrafficRow]:
         """All counts, for a statistics file."""
-        return {kind: count.row() for kind, count in sorted(self.kinds.items())}
+        return {kind: count.to_row() for kind, count in sorted(self.kinds.items())}
 
 
 def kind_of(message_type: type) -> str:
--- a/tests/errors/test_errors.py
+++ b/tests/errors/test_errors.py
@@ -7,8 +7,8 @@
 from pathlib import Path
 
 import ladderhub
-from ladderhub.errors import LadderhubError, all_types
-from ladderhub.errors.tally import Tally
+from ladderhub.errors import LadderhubError, iter_error_types
+from ladderhub.errors.tally import MalformedInputTally
 from ladderhub.server.settings import SettingsError
 
 PAGE = (Path(__file__).parents[2] / "docs" / "operators.md").read_text()
@@ -19,7 +19,7 @@
     for module in pkgutil.walk_packages(ladderhub.__path__, "ladderhub."):
         if not module.name.endswith("__main__"):
             importlib.import_module(module.name)
-    types = list(all_types())
+    types = list(iter_error_types())
     assert len(types) >= 13
     for each in types:
         own = [kind for kind in each.__mro__ if issubclass(kind, LadderhubError)][:-1]
@@ -41,21 +41,21 @@
 
 
 def test_an_error_tells_where_what_and_what_was_meant() -> None:
-    fault = SettingsError("found 3", where="fleet.jsonnet: spool", meant="a folder")
+    fault = SettingsError("found 3", where="fleet.jsonnet: spool", expected="a folder")
     assert str(fault) == "fleet.jsonnet: spool: found 3; a folder is meant"
-    assert (fault.what, fault.where, fault.meant) == ("found 3", "fleet.jsonnet: spool", "a folder")
+    assert (fault.what, fault.where, fault.expected) == ("found 3", "fleet.jsonnet: spool", "a folder")
 
 
 def test_what_is_spoilt_is_told_once_a_second_in_bounded_memory() -> None:
     # Guards against senders that choose kinds and addresses so that a count of them grows without end.
-    tally = Tally()
+    tally = MalformedInputTally()
     for at in range(10_000):
         tally.count(f"kind-{at % 50}", f"10.0.{at // 256}.{at % 256}:{at}")
-    first = tally.due(5 * S)
+    first = tally.take_due(5 * S)
     assert sum(row.count for row in first) == sum(tally.total.values()) == 10_000
     assert len(tally.total) <= 33 and len(first) <= 33 * 65
     tally.count("cut", "a")
-    assert tally.due(5 * S + S // 2) == []
+    assert tally.take_due(5 * S + S // 2) == []
     tally.count("cut", "a")
-    assert [(row.kind, row.peer, row.count) for row in tally.due(6 * S)] == [("others", "a", 2)]
-    assert tally.due(9 * S) == []
+    assert [(row.kind, row.peer, row.count) for row in tally.take_due(6 * S)] == [("others", "a", 2)]
+    assert tally.take_due(9 * S) == []
--- a/tests/lab/test_hollow_schedulers.py
+++ b/tests/lab/test_hollow_schedulers.py
@@ -103,7 +103,7 @@
 def heard(bed: Bed, at: int) -> dict[str, TrafficRow]:
     """What one of the real schedulers exchanges with its peers while the fleet is settled."""
     traffic = bed.daemons[at].site.traffic
-    return {kind: row for kind, row in traffic.rows().items() if kind not in CONNECTIONS}
+    return {kind: row for kind, row in traffic.to_rows().items() if kind not in CONNECTIONS}
 
 
 def amounts(rows: dict[str, TrafficRow], kinds: set[str]) -> dict[str, int]:
--- a/tests/peers/test_late_ticks.py
+++ b/tests/peers/test_late_ticks.py
@@ -30,7 +30,7 @@
         clock.advance(20 * MS)  # longer than a round may take: the datagram is left to the next one
 
     loop.watch(busy.fileno(), READ, burn, first=True)
-    carrier.carry(clock.now_ns(), WakeAt(10 * MS))
+    carrier.execute(clock.now_ns(), WakeAt(10 * MS))
     writer.send(b"x")
     frame = Frame(VERSION, cluster_tag("north"), "b", 7, 0, Ping(1, 2, 3, ()))
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as peer:
--- a/tests/peers/test_revisions.py
+++ b/tests/peers/test_revisions.py
@@ -231,11 +231,11 @@
         Answer(1, Unchanged(header, b"")), Resume(),
         Store(Record()), Tell(Notice.VOTING, ""),
     ):  # fmt: skip
-        carrier.carry(0, action)
+        carrier.execute(0, action)
     assert not host.done and not sent
     host.full = False
     world.until(lambda: host.done == ["store", "answer 1", "resume", "tell"])
-    carrier.carry(0, Send("127.0.0.1:9", AskHead(2, "127.0.0.1:9")))
+    carrier.execute(0, Send("127.0.0.1:9", AskHead(2, "127.0.0.1:9")))
     assert [message.nonce for message in sent] == [2]
     carrier.close()
 
--- a/tests/platform/test_owners.py
+++ b/tests/platform/test_owners.py
@@ -190,7 +190,7 @@
     bed = beds(yes)
     owner = Owner(bed)
     asked = stand(bed, owner)
-    bed.service.tasks.carry(bed.clock.now_ns(), Move(0))
+    bed.service.tasks.execute(bed.clock.now_ns(), Move(0))
     bed.run(lambda: bed.machines[0].got(Kind.RELEASE))
     bed.machines[0].conns[0].say(release(asked.id, 31))
     bed.run()
--- a/tests/server/test_settings_change.py
+++ b/tests/server/test_settings_change.py
@@ -12,7 +12,7 @@
 import structlog
 from structlog.testing import LogCapture
 
-from ladderhub.board import Board
+from ladderhub.dispatcher import EventDispatcher
 from ladderhub.interface import Effect
 from ladderhub.lab import tap
 from ladderhub.lab.auditor import audit
@@ -282,22 +282,22 @@
         def handle(self, now_ns: int, event: str) -> list[str]:
             return [event]
 
-        def carry(self, now_ns: int, action: str) -> None:
+        def execute(self, now_ns: int, action: str) -> None:
             heard.append(action)
             if action == "change":
-                with board.one_turn():
+                with dispatcher.batch():
                     one("module")
                     two("owner")
             elif action == "module":
                 one("what the module caused")
 
-        def after(self, event: str) -> None:
+        def on_handled(self, event: str) -> None:
             return
 
-    board = Board(lambda: 0, lambda event, fault: None)
-    one, two = board.add(Part(), Part()), board.add(Part(), Part())
+    dispatcher = EventDispatcher(lambda: 0, lambda event, fault: None)
+    one, two = dispatcher.register(Part(), Part()), dispatcher.register(Part(), Part())
     one("change")
-    with board.one_turn():
+    with dispatcher.batch():
         two("a")
         one("b")
         assert heard[-1] != "b"
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -69,10 +69,10 @@
         "ladderhub.pbs": {"ladderhub.pbs", "ladderhub.errors"},
         "ladderhub.loop": {"ladderhub.loop"},
         "ladderhub.translate": {"ladderhub.interface", "ladderhub.errors"},
-        "ladderhub.board": set(),
+        "ladderhub.dispatcher": set(),
         "ladderhub.signalling": {"ladderhub.signalling", "ladderhub.errors"},
         "ladderhub.platform": {
-            "ladderhub.platform", "ladderhub.signalling", "ladderhub.loop", "ladderhub.board",
+            "ladderhub.platform", "ladderhub.signalling", "ladderhub.loop", "ladderhub.dispatcher",
             "ladderhub.translate", "ladderhub.decide", "ladderhub.interface", "ladderhub.errors",
         },
         "ladderhub.commands": {"ladderhub", "ladderhub.pbs", "ladderhub.commands", "ladderhub.errors"},
@@ -84,7 +84,7 @@
         },
         "ladderhub.server": {
             "ladderhub.server", "ladderhub.loop", "ladderhub.pbs", "ladderhub.owner", "ladderhub.decide",
-            "ladderhub.interface", "ladderhub.directory", "ladderhub.rollout", "ladderhub.board",
+            "ladderhub.interface", "ladderhub.directory", "ladderhub.rollout", "ladderhub.dispatcher",
             "ladderhub.errors", "ladderhub.membership", "ladderhub.peers", "ladderhub.revision",
             "ladderhub.usage",
         },
--- a/tests/usage/test_traffic.py
+++ b/tests/usage/test_traffic.py
@@ -54,7 +54,7 @@
     traffic.of_message(Ping()).messages_in += 2
     assert traffic.of_message(Ping()) is traffic.of("ping")
     row = {"bytes_in": 0, "bytes_out": 0, "messages_in": 2, "messages_out": 0}
-    assert traffic.rows() == {"ping": row}
+    assert traffic.to_rows() == {"ping": row}
 
 
 def test_streams_count_each_byte_once_in_each_direction() -> None:
