--- a/tests/peers/test_revisions.py
+++ b/tests/peers/test_revisions.py
@@ -177,7 +177,7 @@
     told: list[str] = []
     monkeypatch.setattr(service, "hold", told.append)
     monkeypatch.setattr(service.revisions, "_last_ns", world.loop.now_ns() - 9_000_000_000)
-    service._site.tell_owner(own.Due(1))
+    service._site.tell_owner(own.TimerFired(1))
     assert told and "stood still" in told[0]
 
 
@@ -231,11 +231,11 @@
         Answer(1, Unchanged(header, b"")), Resume(),
         Store(Record()), Notify(Notice.VOTING, ""),
     ):  # fmt: skip
-        carrier.carry(0, action)
+        carrier.execute(0, action)
     assert not host.done and not sent
     host.full = False
     world.until(lambda: host.done == ["store", "answer 1", "resume", "tell"])
-    carrier.carry(0, Send("127.0.0.1:9", AskHead(2, "127.0.0.1:9")))
+    carrier.execute(0, Send("127.0.0.1:9", AskHead(2, "127.0.0.1:9")))
     assert [message.nonce for message in sent] == [2]
     carrier.close()
 
