--- a/ladderhub/peers/carrier.py
+++ b/ladderhub/peers/carrier.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from ladderhub.errors.base import SYSTEM, LadderhubError
-from ladderhub.errors.tally import Spoilt, Tally
+from ladderhub.errors.tally import MalformedInputCount, MalformedInputTally
 from ladderhub.loop import Loop, Timer, parse_address
 from ladderhub.loop.datagram import Datagrams
 from ladderhub.loop.stream import Address
@@ -53,11 +53,11 @@
         cluster: str,
         view: MembershipView,
         on_change: Callable[[MemberChanged], None],
-        on_spoilt: Callable[[Spoilt], None],
+        on_spoilt: Callable[[MalformedInputCount], None],
         traffic: Traffic | None = None,
     ) -> None:
         self.loop, self.view = loop, view
-        self.tally = Tally()
+        self.tally = MalformedInputTally()
         self.traffic = traffic or Traffic()
         self._cluster_tag = cluster_tag(cluster)
         self._on_change, self._on_spoilt = on_change, on_spoilt
@@ -67,7 +67,7 @@
         self.on_tick: Callable[[], None] | None = None
         self.on_members: Callable[[], None] | None = None  # after the view has changed
         self.tell_revisions: TellRevisions | None = None
-        self.current_head: Callable[[], Head] | None = None  # rides on every frame
+        self.get_head: Callable[[], Head] | None = None  # rides on every frame
         self._members_changed = False
         self._tick_timer: Timer | None = None
         self._parsed_addresses: dict[str, Address] = {}
@@ -113,19 +113,19 @@
             tell(received, frame.name)
 
     def _report_spoilt(self) -> None:
-        for row in self.tally.due(self.loop.now_ns()):
+        for row in self.tally.take_due(self.loop.now_ns()):
             self._on_spoilt(row)
         self._spoilt_timer = self.loop.call_later(SPOILT_REPORT_INTERVAL_NS, self._report_spoilt)
 
     # --- as a carrier -----------------------------------------------------------------------------------
 
-    def carry(self, now_ns: int, action: Action) -> None:
+    def execute(self, now_ns: int, action: Action) -> None:
         if isinstance(action, SendMessage):
             self.send(action.address, action.message)
         elif isinstance(action, WakeAt):
             if self._tick_timer is not None:
                 self._tick_timer.cancel()
-            self._tick_timer = self.loop.call_at(action.at_ns, self.when_read, self._tick)
+            self._tick_timer = self.loop.call_at(action.at_ns, self.call_when_read, self._tick)
         elif isinstance(action, LeasesHeld):
             if self.on_leases is not None:
                 self.on_leases(action)
@@ -133,7 +133,7 @@
             self._members_changed = True
             self._on_change(action)
 
-    def when_read(self, call: Callable[[], None]) -> None:
+    def call_when_read(self, call: Callable[[], None]) -> None:
         """Call once the datagrams that have come by now were heard: peers are judged by what they answered,
         not by when this process got round to it."""
         self.loop.call_when_read(self.datagrams.sock.fileno(), self._if_open, call)
@@ -145,7 +145,7 @@
     def _tick(self) -> None:
         self._tell_view(Tick())
 
-    def after(self, event: Event) -> None:
+    def on_handled(self, event: Event) -> None:
         if self._members_changed:
             self._members_changed = False
             if self.on_members is not None:
@@ -155,7 +155,7 @@
 
     def send(self, address: str, message: Message | RevisionMessage) -> None:
         """Send one message in a frame of ours; it may be lost."""
-        sender, head = self.view.self_entry, self.current_head() if self.current_head is not None else None
+        sender, head = self.view.self_entry, self.get_head() if self.get_head is not None else None
         frame = Frame(
             VERSION, self._cluster_tag, sender.name, sender.life, sender.incarnation, message, head
         )  # fmt: skip
--- a/ladderhub/peers/revisions.py
+++ b/ladderhub/peers/revisions.py
@@ -9,8 +9,8 @@
 from ladderhub.loop import Timer
 from ladderhub.peers.carrier import PeerCarrier
 from ladderhub.revision import (
-    Activate, Answer, CheckBody, HeadSeen, Hold, MembersChanged, Record, Resume, Revision, Revisions, Send,
-    Store, Tell, Tick, WakeAt,
+    Activate, Answer, CheckBody, HeadSeen, Hold, MembersChanged, Notify, Record, Resume, Revision, Revisions,
+    Send, Store, Tick, WakeAt,
 )  # fmt: skip
 from ladderhub.revision.messages import Head
 from ladderhub.revision.types import Action, BodyChecked, Event, Notice, Outcome
@@ -24,7 +24,7 @@
     def store(self, record: Record) -> None:
         """Keep it in place of the record before, on disk when this returns; OSError where that fails."""
 
-    def check(self, body: bytes) -> str | None:
+    def check_body(self, body: bytes) -> str | None:
         """What keeps this scheduler from acting by the body, or None."""
 
     def activate(self, revision: Revision) -> None:
@@ -39,7 +39,7 @@
     def resume(self) -> None:
         """Decide again."""
 
-    def tell(self, notice: Notice, text: str) -> None:
+    def notify(self, notice: Notice, text: str) -> None:
         """For the log."""
 
 
@@ -63,7 +63,7 @@
         self._tell = tell
         peers, loop = self._peers, self._peers.loop
         peers.tell_revisions = self._on_event
-        peers.current_head = lambda: self._revisions.head(loop.now_ns())
+        peers.get_head = lambda: self._revisions.head(loop.now_ns())
         peers.on_members = self._on_members
         self._on_members()
         tell(Tick())
@@ -80,11 +80,11 @@
 
     # --- as a carrier -----------------------------------------------------------------------------------
 
-    def carry(self, now_ns: int, action: Action) -> None:
+    def execute(self, now_ns: int, action: Action) -> None:
         if isinstance(action, WakeAt):
             if self._tick_timer is not None:
                 self._tick_timer.cancel()
-            self._tick_timer = self._peers.loop.call_at(action.at_ns, self._peers.when_read, self._tick)
+            self._tick_timer = self._peers.loop.call_at(action.at_ns, self._peers.call_when_read, self._tick)
         elif isinstance(action, Store):
             self._unkept = action.record
             self._store()
@@ -96,7 +96,7 @@
     def _tick(self) -> None:
         self._tell(Tick())
 
-    def after(self, event: Event) -> None:
+    def on_handled(self, event: Event) -> None:
         return
 
     def _store(self) -> None:
@@ -124,7 +124,7 @@
             case Send(address, message):
                 self._peers.send(address, message)
             case CheckBody(digest, body):
-                self._tell(BodyChecked(digest, host.check(body)))
+                self._tell(BodyChecked(digest, host.check_body(body)))
             case Activate(revision):
                 host.activate(revision)
             case Answer(request, outcome):
@@ -133,14 +133,14 @@
                 host.hold(reason)
             case Resume():
                 host.resume()
-            case Tell(notice, text):
-                host.tell(notice, text)
+            case Notify(notice, text):
+                host.notify(notice, text)
 
     def close(self) -> None:
         for timer in (self._tick_timer, self._store_timer):
             if timer is not None:
                 timer.cancel()
-        self._peers.tell_revisions = self._peers.current_head = self._peers.on_members = None
+        self._peers.tell_revisions = self._peers.get_head = self._peers.on_members = None
 
 
 def _not_joined(event: Event) -> None:
--- a/tests/peers/test_revisions.py
+++ b/tests/peers/test_revisions.py
@@ -18,7 +18,7 @@
 from ladderhub.pbs import names as n
 from ladderhub.pbs.batch import Attr, Reply, Request, Row
 from ladderhub.peers.revisions import RevisionCarrier
-from ladderhub.revision import Answer, Notice, Record, Resume, Revision, Send, Store, Tell
+from ladderhub.revision import Answer, Notice, Notify, Record, Resume, Revision, Send, Store
 from ladderhub.revision.messages import AskHead, Header
 from ladderhub.revision.types import Outcome, Unchanged
 from ladderhub.server.daemon import Daemon
@@ -177,7 +177,7 @@
     told: list[str] = []
     monkeypatch.setattr(service, "hold", told.append)
     monkeypatch.setattr(service.revisions, "_last_ns", world.loop.now_ns() - 9_000_000_000)
-    service._site.tell_owner(own.Due(1))
+    service._site.tell_owner(own.TimerFired(1))
     assert told and "stood still" in told[0]
 
 
@@ -199,7 +199,7 @@
             raise OSError("no space left")
         self.done.append("store")
 
-    def check(self, body: bytes) -> str | None:
+    def check_body(self, body: bytes) -> str | None:
         return None
 
     def activate(self, revision: Revision) -> None:
@@ -214,7 +214,7 @@
     def resume(self) -> None:
         self.done.append("resume")
 
-    def tell(self, notice: Notice, text: str) -> None:
+    def notify(self, notice: Notice, text: str) -> None:
         self.done.append("tell")
 
 
@@ -229,13 +229,13 @@
     for action in (
         Store(Record()), Send("127.0.0.1:9", AskHead(1, "127.0.0.1:9")),
         Answer(1, Unchanged(header, b"")), Resume(),
-        Store(Record()), Tell(Notice.VOTING, ""),
+        Store(Record()), Notify(Notice.VOTING, ""),
     ):  # fmt: skip
-        carrier.carry(0, action)
+        carrier.execute(0, action)
     assert not host.done and not sent
     host.full = False
     world.until(lambda: host.done == ["store", "answer 1", "resume", "tell"])
-    carrier.carry(0, Send("127.0.0.1:9", AskHead(2, "127.0.0.1:9")))
+    carrier.execute(0, Send("127.0.0.1:9", AskHead(2, "127.0.0.1:9")))
     assert [message.nonce for message in sent] == [2]
     carrier.close()
 
