--- a/ladderhub/benchlink.py
+++ b/ladderhub/benchlink.py
@@ -1,7 +1,8 @@
-"""Adapter between the bench's wire (JSON lines on standard input and output) and the decision module.
+"""Adapter between the simulator's protocol (JSON lines on standard input and output) and the decision module.
 
-Translation only: one `Scheduler` per instance, each fed its own events in order.  A malformed line ends the
-program with one message on standard error; an exception in the module is told as `InternalError`.
+It only translates: each simulated instance has one `Scheduler`, which receives its events in order.  A
+malformed line ends the program with one message on standard error; an exception in the module is reported as
+`InternalError`.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
 
 Tables = dict[int, tuple[api.MachineEntry, ...]]
 _STAGES = {"SERVING": api.Stage.SERVING, "DRAINING": api.Stage.DRAINING, "DELETED": api.Stage.GONE}
-_LISTS = {
+_LIST_KINDS = {
     "diff": api.ListKind.CHANGES,
     "snapshot": api.ListKind.FULL,
     "disk": api.ListKind.RECALLED,
@@ -48,7 +49,7 @@
 _NS_PER_MS = 1_000_000
 
 
-def _entry(row: Row) -> api.MachineEntry:
+def _read_entry(row: Row) -> api.MachineEntry:
     return api.MachineEntry(
         machine=read_str(row, "machine"),
         stage=parse_choice(_STAGES, "stage-state", row.get("stage-state")),
@@ -62,9 +63,9 @@
     )
 
 
-def _asked(row: Row) -> api.TaskAsked:
+def _read_task(row: Row) -> api.TaskAsked:
     marks = read_int(row, "marks", 0)
-    hinted = bool(marks & _MARK_HINT) and row.get("time-to-run-ns") is not None
+    has_hint = bool(marks & _MARK_HINT) and row.get("time-to-run-ns") is not None
     return api.TaskAsked(
         task=read_int(row, "rid"),
         key=read_str(row, "unit-id"),
@@ -74,13 +75,13 @@
         memory=read_float(row, "mem-needed"),
         budget_ns=read_int(row, "budget-ns"),
         tenant=read_int(row, "project", 0),
-        life_hint_ns=read_int(row, "time-to-run-ns") if hinted else None,
+        life_hint_ns=read_int(row, "time-to-run-ns") if has_hint else None,
         repeat=bool(marks & _MARK_REPEAT),
         came_again=bool(marks & _MARK_AGAIN),
     )
 
 
-def _report(row: Row, fields: tuple[str, ...]) -> api.LoadReport | None:
+def _read_report(row: Row, fields: tuple[str, ...]) -> api.LoadReport | None:
     values = row.get("feedback")
     if values is None:
         return None
@@ -89,7 +90,7 @@
     known: dict[str, Any] = {}
     for name, value in zip(fields, values, strict=True):
         if not isinstance(value, int | float) or isinstance(value, bool):
-            raise FieldError("field 'feedback' holds a value that is no number")
+            raise FieldError("field 'feedback' holds a value that is not a number")
         if name in _REPORT_FIELDS:
             scale = _NS_PER_MS if name == "latency_ms" else 1
             known[_REPORT_FIELDS[name]] = float(value) * scale
@@ -104,10 +105,10 @@
 
 
 def read_event(row: Row, fields: tuple[str, ...], tables: Tables) -> api.Event:
-    """One event of an instance in the module's terms."""
+    """Convert an event row of an instance to an event of the module."""
     match row["what"]:
         case "RosterChange":
-            kind = parse_choice(_LISTS, "how", row.get("how"))
+            kind = parse_choice(_LIST_KINDS, "how", row.get("how"))
             entries: tuple[api.MachineEntry, ...] = ()
             if kind is not api.ListKind.FAILED:
                 number = read_int(row, "roster-id")
@@ -116,9 +117,9 @@
                 entries = tables[number]
             return api.MachineList(kind, read_int(row, "gen", 0), entries)
         case "Demand":
-            return _asked(row)
+            return _read_task(row)
         case "Standing":
-            return api.TaskOpen(_asked(row), read_str(row, "machine"))
+            return api.TaskOpen(_read_task(row), read_str(row, "machine"))
         case "Landed":
             return api.TaskPlaced(
                 read_int(row, "rid"),
@@ -144,7 +145,7 @@
                 reason=parse_code(api.Reason, "detail", read_int(row, "detail", 0)),
                 concluded=read_flag(row, "ended"),
                 elapsed_ns=read_int(row, "delay-seen-ns", 0),
-                report=_report(row, fields),
+                report=_read_report(row, fields),
             )
         case "CancelledByClient":
             return api.TaskWithdrawn(read_int(row, "rid"))
@@ -153,7 +154,10 @@
         case "Probed":
             outcome = parse_code(api.Outcome, "outcome", read_int(row, "outcome"))
             return api.ProbeAnswered(
-                read_str(row, "machine"), outcome, read_int(row, "delay-seen-ns", 0), _report(row, fields)
+                read_str(row, "machine"),
+                outcome,
+                read_int(row, "delay-seen-ns", 0),
+                _read_report(row, fields),
             )
         case "Message":
             return api.PeerMessage(read_int(row, "neighbour"), _read_bytes(row))
@@ -162,7 +166,7 @@
 
 
 def write_action(action: api.Action) -> Row:
-    """One action of the module as the wire words it, without its instance."""
+    """Convert an action of the module to a row, without the name of the instance."""
     match action:
         case api.Send(task, machine, timeout):
             row: Row = {"what": "Bind", "rid": task, "machine": machine}
@@ -192,25 +196,25 @@
             return {"what": "Remark", "reason-text": text}
 
 
-class Link:
-    """The instances of one process and the lists they are told by."""
+class SimulatorAdapter:
+    """The simulated instances of one process, and the machine lists that their events refer to."""
 
     def __init__(self) -> None:
         self._instances: dict[str, tuple[Scheduler, tuple[str, ...]]] = {}
         self._tables: Tables = {}
 
-    def event(self, now_ns: int, row: Row) -> list[Row]:
-        """Take one event line and give the actions it brings."""
+    def handle_row(self, now_ns: int, row: Row) -> list[Row]:
+        """Process one event row and return the rows of the resulting actions."""
         what = row.get("what")
         if what == "Table":
             entries = read_field(row, "entries", (list,))
-            self._tables[read_int(row, "roster-id")] = tuple(_entry(entry) for entry in entries)
+            self._tables[read_int(row, "roster-id")] = tuple(_read_entry(entry) for entry in entries)
             return []
         name = read_str(row, "scheduler")
         if what == "Born":
-            return self._born(name, row)
+            return self._create_instance(name, row)
         if name not in self._instances:
-            raise FieldError(f"{what} for instance {name!r}, which is not born")
+            raise FieldError(f"{what} for instance {name!r}, which is not running")
         if what == "CrashNow":
             del self._instances[name]
             return []
@@ -221,10 +225,10 @@
         try:
             actions = scheduler.handle(now_ns, event)
         except Exception as fault:
-            return [_internal_error(name, fault)]
+            return [_make_internal_error(name, fault)]
         return [{"scheduler": name} | write_action(action) for action in actions]
 
-    def _born(self, name: str, row: Row) -> list[Row]:
+    def _create_instance(self, name: str, row: Row) -> list[Row]:
         raw = read_field(row, "settings", (dict,))
         fields = tuple(str(field) for field in read_object(raw, "load-report").get("fields", ()))
         seed = read_int(row, "seed")
@@ -234,20 +238,20 @@
         except (FieldError, TypeError, AttributeError) as fault:
             raise FieldError(str(fault), where="settings") from None
         except ValueError as fault:
-            return [_internal_error(name, fault)]
+            return [_make_internal_error(name, fault)]
         self._instances[name] = (scheduler, fields)
         return []
 
 
 def _check_indices(asked: api.TaskAsked, settings: api.Settings) -> None:
-    """Tenant 0 also stands for none, where there are no tenants."""
+    """Reject an unknown class or tenant; without any tenants, tenant 0 stands for none."""
     if not 0 <= asked.klass < len(settings.classes):
         raise FieldError(f"field 'category' holds {asked.klass}, which is not in the list of classes")
     if not 0 <= asked.tenant < max(1, len(settings.tenants)):
         raise FieldError(f"field 'project' holds {asked.tenant}, which is not in the list of tenants")
 
 
-def _internal_error(name: str, fault: Exception) -> Row:
+def _make_internal_error(name: str, fault: Exception) -> Row:
     return {
         "scheduler": name,
         "what": "InternalError",
@@ -255,7 +259,7 @@
     }
 
 
-def _parse(line: bytes) -> Row:
+def _parse_row(line: bytes) -> Row:
     try:
         row = json.loads(line)
     except ValueError as fault:
@@ -266,14 +270,14 @@
 
 
 def serve(source: IO[bytes], sink: IO[bytes]) -> None:
-    """Answer batches until the input ends."""
-    link = Link()
+    """Process batches until the input ends."""
+    adapter = SimulatorAdapter()
     now_ns: int | None = None
     replies: list[Row] = []
     number = 0
     for number, line in enumerate(source, 1):
         try:
-            row = _parse(line)
+            row = _parse_row(line)
             what = row["what"]
             if what == "Round":
                 if now_ns is not None:
@@ -287,7 +291,7 @@
                 sink.flush()
                 replies, now_ns = [], None
             else:
-                replies.extend(link.event(now_ns, row))
+                replies.extend(adapter.handle_row(now_ns, row))
         except FieldError as fault:
             raise FieldError(str(fault), where=f"line {number}") from None
     if now_ns is not None:
@@ -295,7 +299,7 @@
 
 
 def main() -> NoReturn:
-    """Serve standard input; exit 2 with one message where it is not the wire."""
+    """Serve standard input; exit with status 2 and one message if it violates the protocol."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except FieldError as fault:
--- a/ladderhub/interface/__init__.py
+++ b/ladderhub/interface/__init__.py
@@ -1,8 +1,8 @@
-"""What goes into and comes out of the decision module: settings, events and actions.
+"""Interface of the decision module: its settings, the events it receives and the actions it returns.
 
-Times and spans are whole nanoseconds on one clock that never goes back.  Machine, task and service ids are
-opaque text or numbers: compare them, but read nothing into them.  Classes, tenants, zones and machine kinds
-are indices into the lists of `Settings`.  These files hold types and no decisions.
+Times and durations are integer nanoseconds on one monotonic clock.  Machine, task and service ids are opaque
+text or numbers: they are compared, never parsed.  Classes, tenants, zones and machine kinds are indices into
+the lists of `Settings`.  The package holds types only and makes no decisions.
 """
 
 from ladderhub.interface.actions import (
--- a/ladderhub/interface/actions.py
+++ b/ladderhub/interface/actions.py
@@ -1,4 +1,4 @@
-"""What a scheduler says is to be done."""
+"""Actions: what the caller of a scheduler is to carry out."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Offer the task to a machine; attempts of a task count 0, 1, 2 ...  No time-out means the deadline."""
+    """Offer the task to a machine.  Attempts are numbered from 0.  Without a time-out, the deadline holds."""
 
     task: int
     machine: str
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Abort:
-    """Stop waiting for an attempt; its outcome still comes."""
+    """Cancel an attempt; its outcome is still reported."""
 
     task: int
     attempt: int
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: not placed, and asking again does no harm."""
+    """Final answer: not placed, and asking again is safe, after `stay_away_ns` if given."""
 
     task: int
     stay_away_ns: int = 0
@@ -32,21 +32,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer that promises nothing of what happened."""
+    """Final answer that makes no claim about whether the task ran."""
 
     task: int
 
 
 @dataclass(frozen=True, slots=True)
 class Move:
-    """Stop a placed task so that its owner asks again."""
+    """Stop a placed task so that its owner asks for it again."""
 
     task: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a `TimerFired` at or after a moment."""
+    """Request a `TimerFired` at or after a time."""
 
     at_ns: int
     timer: int
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Ask a machine for its report."""
+    """Ask a machine for its load report."""
 
     machine: str
 
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tell:
-    """A short message to one other scheduler, or to all (`peer` None)."""
+    """Send a short message to one other scheduler, or to all of them (`peer` None)."""
 
     data: bytes
     peer: int | None = None
@@ -76,19 +76,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Follow:
-    """Ask discovery for changes from now on, or to stop."""
+    """Subscribe to changes of the machine list, or unsubscribe."""
 
     enable: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class Fetch:
-    """Ask discovery for the complete list once."""
+    """Request the complete machine list once."""
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the operator."""
+    """Write a line to the log for the operator."""
 
     text: str
 
--- a/ladderhub/interface/events.py
+++ b/ladderhub/interface/events.py
@@ -1,4 +1,4 @@
-"""What a scheduler is told while it runs."""
+"""Events: what a scheduler receives while it runs."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Stage(Enum):
-    """Where a machine stands in its life, as the list has it."""
+    """Stage of a machine's life cycle, according to the list."""
 
     SERVING = "serving"
     DRAINING = "draining"
@@ -17,8 +17,8 @@
 
 
 class ListKind(Enum):
-    """How to read a machine list: only changes, complete, complete but recalled from before a restart,
-    or a failed call that leaves the old list standing."""
+    """Kind of a machine list: changes only, complete, complete but saved before a restart, or none because
+    the call failed; the previous list then stays in force."""
 
     CHANGES = "changes"
     FULL = "full"
@@ -27,7 +27,7 @@
 
 
 class Outcome(IntEnum):
-    """How an attempt ended.  Only REFUSED, UNREACHABLE and NEVER_SENT prove that the task never ran."""
+    """How an attempt ended.  Only REFUSED, UNREACHABLE and NEVER_SENT prove that the task did not run."""
 
     ERROR = 0
     DONE = 1
@@ -40,7 +40,7 @@
 
 
 class Reason(IntEnum):
-    """Why a machine refused an offer or let a task go."""
+    """Why a machine refused an offer or ended a task."""
 
     UNKNOWN = 0
     CORES = 1
@@ -53,7 +53,7 @@
 
 
 class Topic(IntEnum):
-    """What a note on a placed task tells."""
+    """Subject of a `TaskNote`."""
 
     RUNNING = 1
     CORES_USED = 2
@@ -64,8 +64,8 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineEntry:
-    """One line of a machine list.  `ready_ns` is its last start, 0 for long ago; the free figures are what no
-    accepted task has asked for, some time ago, where the list shows room."""
+    """One entry of a machine list.  `ready_ns` is the machine's last start, 0 for long ago.  `free_cores` and
+    `free_memory` are what accepted tasks have not requested, with some delay, where the list shows room."""
 
     machine: str
     stage: Stage
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """A machine's own figures, late and noisy; None where it does not tell."""
+    """Load measured by a machine itself, delayed and noisy; None where it is not reported."""
 
     cores_free: float | None = None
     memory_free: float | None = None
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineList:
-    """Discovery told this scheduler of machines."""
+    """A list of machines from the discovery service, in `entries`."""
 
     kind: ListKind
     version: int = 0
@@ -103,8 +103,8 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskAsked:
-    """A task wants a place.  Exactly one final answer is owed within `budget_ns`.  `effect`: what it was
-    taken as, where settings may say otherwise of its class by now."""
+    """A task is to be placed.  It needs exactly one final answer within `budget_ns`.  `effect` is the effect
+    with which it was accepted, if the settings of its class may have changed since."""
 
     task: int
     key: str
@@ -122,7 +122,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskOpen:
-    """A task that runs already and is now this scheduler's to look after, on `machine`."""
+    """A task that already runs on `machine` is assigned to this scheduler from now on."""
 
     asked: TaskAsked
     machine: str
@@ -130,7 +130,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskPlaced:
-    """The first answer to an attempt: the machine accepted the task, or it runs, by the settings."""
+    """First answer to an attempt: the machine accepted the task or, with `first_at_running`, runs it."""
 
     task: int
     attempt: int
@@ -140,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskNote:
-    """News of an attempt that is still out."""
+    """A measurement or state change of an attempt that has not ended."""
 
     task: int
     attempt: int
@@ -151,8 +151,8 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptLeaving:
-    """The offer leaves only now, some time after its `Send`: a connection had to come up first.  An `Abort`
-    in return keeps it from leaving; without one it counts as sent at this moment."""
+    """An offer is about to be written, some time after its `Send`, since a connection had to be set up first.
+    An `Abort` in return keeps it from being sent; without one it counts as sent at this time."""
 
     task: int
     attempt: int
@@ -160,14 +160,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerDue:
-    """The final answer is wanted now, whatever time the task has left: its carrier is about to end."""
+    """The final answer is needed at once, whatever time the task has left: its carrier is about to end."""
 
     task: int
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """The one outcome of an attempt.  `concluded`: the task needs no further answer."""
+    """The only outcome of an attempt.  `concluded`: the task needs no further answer."""
 
     task: int
     attempt: int
@@ -188,14 +188,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that the scheduler set has come due."""
+    """A timer that the scheduler has set expired."""
 
     timer: int
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeAnswered:
-    """The outcome of one probe."""
+    """Outcome of a probe."""
 
     machine: str
     outcome: Outcome
@@ -213,9 +213,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SeatShare:
-    """From now on this scheduler holds these seats at fresh machines, ordinals below `Settings.schedulers`,
-    in place of its own ordinal, and none of them from `until_ns` on.  Whoever deals them out lets each rest
-    for a cold window between two holders."""
+    """Replaces the scheduler's own ordinal, which determines its quota of offers to fresh machines, by these
+    ordinals below `Settings.schedulers`.  They are leased until `until_ns`; whoever grants them leaves each
+    unused for a cold window between two holders."""
 
     ordinals: tuple[int, ...]
     until_ns: int
@@ -223,10 +223,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """From now on these settings hold.  Classes, kinds and tenants keep their index for good: new ones are
-    appended, and one that is gone stays in its place.  What is the scheduler's own stays as it was:
-    `schedulers`, `ordinal`, `zone` and messages between schedulers.  A task keeps the effect, time and
-    repeats that it was taken with."""
+    """From now on these settings are in force.  Classes, kinds and tenants never change their index: new ones
+    are appended, and a removed one keeps its place.  The scheduler's identity does not change: `schedulers`,
+    `ordinal`, `zone` and the rules on messages between schedulers.  A task keeps the effect, deadline and
+    repeat rules with which it was accepted."""
 
     settings: Settings
 
--- a/ladderhub/interface/settings.py
+++ b/ladderhub/interface/settings.py
@@ -1,4 +1,4 @@
-"""What a scheduler is told at its start."""
+"""Settings that a scheduler receives when it is created, and their validation."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Effect(Enum):
-    """What a second start of the same task would do."""
+    """Whether a task may be started twice: always, within the scope and window of its key, or never."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -15,7 +15,7 @@
 
 
 class Scope(Enum):
-    """A set of machines: none, one machine, its cell (rack), its zone, or all of them."""
+    """A set of machines: none, a single machine, its cell (rack), its zone, or all."""
 
     NONE = "none"
     MACHINE = "machine"
@@ -26,8 +26,8 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskClass:
-    """One class of tasks.  `kind` is the machine kind it needs, -1 for any.  `start_worth_s` is what a first
-    start within `aim_ns` is worth, in seconds of service; `dedupe_*` count for keyed classes only."""
+    """One class of tasks.  `kind` is the machine kind it needs, -1 for any.  `start_worth_s` is the worth of
+    a first start within `aim_ns`, in seconds of service.  `dedupe_*` apply to keyed classes only."""
 
     effect: Effect
     aim_ns: int
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant's share, and what counts as within it over all schedulers."""
+    """A tenant's share, and the quotas over all schedulers up to which it counts as within its share."""
 
     share: float = 1.0
     quota_per_s: float = 0.0
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineKind:
-    """What a machine of this kind has."""
+    """Capacity of the machines of one kind."""
 
     cores: float
     memory: float
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a scheduler is told at its start."""
+    """All settings of a scheduler."""
 
     classes: tuple[TaskClass, ...]
     kinds: tuple[MachineKind, ...]
@@ -74,7 +74,7 @@
     zone: int = 0
     tick_ns: int = 1_000_000
     max_attempts: int = 1
-    unreached_count: bool = True  # an offer that reached no machine is one of the attempts
+    unreached_count: bool = True  # offers that reached no machine count against `max_attempts`
     admit_cores: float = 1.0
     admit_memory: float = 1.0
     first_at_running: bool = False
@@ -107,7 +107,7 @@
     price_message: float = 0.0
 
     def __post_init__(self) -> None:
-        """Settings that make no sense are told at once, by field."""
+        """Reject invalid values; each message names the field."""
         if not self.classes:
             raise ValueError("classes: at least one is needed")
         for field in ("schedulers", "max_attempts", "tick_ns"):
--- a/ladderhub/translate.py
+++ b/ladderhub/translate.py
@@ -1,7 +1,7 @@
-"""The settings as Midshires words them, in the module's terms, and reading of typed fields.
+"""Conversion of the platform's settings to those of the decision module, and typed reading of JSON fields.
 
-Used by the adapter to the simulator and by the door to the platform, which are given the same object.
-Translation only; standard library only.  Must import `interface` and `errors` alone.
+Used by the simulator adapter and by the platform's scheduler, which receive the same settings object.
+Conversion only; uses the standard library only.  Must import `interface` and `errors` alone.
 """
 
 from __future__ import annotations
@@ -24,13 +24,14 @@
 
 
 class FieldError(LadderhubError):
-    """A row of the wire, or of the settings, has a field that can't be read."""
+    """A row received, or the settings, has a missing or invalid field."""
 
     status, code = 2, BAD_VALUE
     remedy = "look at the field that is named: the other side words it otherwise than published"
 
 
 def read_field(row: Row, name: str, kinds: tuple[type, ...], default: Any = _MISSING) -> Any:
+    """Return a field of one of the types; absent and null fields give the default, if there is one."""
     value = row.get(name)
     if value is None:
         if default is _MISSING:
@@ -62,27 +63,27 @@
     return part
 
 
-def parse_choice(table: dict[str, Any], name: str, word: Any) -> Any:
-    if word not in table:
-        raise FieldError(f"field '{name}' holds the unknown value {word!r}")
-    return table[word]
+def parse_choice(table: dict[str, Any], name: str, key: Any) -> Any:
+    if key not in table:
+        raise FieldError(f"field '{name}' holds the unknown value {key!r}")
+    return table[key]
 
 
-def parse_code(kind: Callable[[int], Any], name: str, value: int) -> Any:
+def parse_code(code_type: Callable[[int], Any], name: str, value: int) -> Any:
     try:
-        return kind(value)
+        return code_type(value)
     except ValueError:
         raise FieldError(f"field '{name}' holds the unknown code {value}") from None
 
 
-def _at(values: Any, index: int, default: Any) -> Any:
-    """Per-class lists of the settings; a list may be shorter than the classes: its last entry serves on."""
+def _get_for_class(values: Any, index: int, default: Any) -> Any:
+    """Return one entry of a per-class list; in a list shorter than the classes, the last entry applies on."""
     if not isinstance(values, list) or not values:
         return default
     return values[min(index, len(values) - 1)]
 
 
-def _task_class(row: Row, index: int, extra: Row) -> api.TaskClass:
+def _read_task_class(row: Row, index: int, extra: Row) -> api.TaskClass:
     return api.TaskClass(
         effect=parse_choice(_EFFECTS, "effect", row.get("effect")),
         aim_ns=read_int(row, "promise-ns"),
@@ -91,36 +92,38 @@
         dedupe_window_ns=read_int(row, "window-ns", 0),
         worth=read_float(row, "worth", 1.0),
         late_worth=read_float(row, "late-value", 0.0),
-        start_worth_s=float(_at(extra.get("class-start-s"), index, 0.0)),
-        kind=int(_at(extra.get("needs-kind"), index, -1)),
-        spread=parse_choice(_SCOPES, "spread-over", _at(extra.get("spread-over"), index, "none")),
-        spread_most=int(_at(extra.get("class-most"), index, 1)),
-        priority=int(_at(extra.get("class-priority"), index, 0)),
-        calm_level=float(_at(extra.get("calm-level"), index, 1.0)),
-        fade=float(_at(extra.get("fades-over"), index, 0.0)),
+        start_worth_s=float(_get_for_class(extra.get("class-start-s"), index, 0.0)),
+        kind=int(_get_for_class(extra.get("needs-kind"), index, -1)),
+        spread=parse_choice(_SCOPES, "spread-over", _get_for_class(extra.get("spread-over"), index, "none")),
+        spread_most=int(_get_for_class(extra.get("class-most"), index, 1)),
+        priority=int(_get_for_class(extra.get("class-priority"), index, 0)),
+        calm_level=float(_get_for_class(extra.get("calm-level"), index, 1.0)),
+        fade=float(_get_for_class(extra.get("fades-over"), index, 0.0)),
     )
 
 
-def _tenants(rows: Any, quotas: Any) -> tuple[api.Tenant, ...]:
+def _read_tenants(rows: Any, quotas: Any) -> tuple[api.Tenant, ...]:
     return tuple(
         api.Tenant(
-            read_float(row, "portion", 1.0), read_float(row, "quota-per-s", 0.0), float(_at(quotas, at, 0.0))
+            read_float(row, "portion", 1.0),
+            read_float(row, "quota-per-s", 0.0),
+            float(_get_for_class(quotas, at, 0.0)),
         )
         for at, row in enumerate(rows or ())
     )
 
 
 def read_settings(row: Row) -> api.Settings:
-    """The settings of the wire in the module's terms; keys that are not known here are left out."""
+    """Convert a settings object to the module's `Settings`; unknown keys are ignored."""
     extra, limits = read_object(row, "specifics"), read_object(row, "ceilings")
     rules, prices = read_object(row, "rules"), read_object(row, "prices")
     sizes = extra.get("size-cores") or []
     memories = extra.get("size-memory") or []
     classes = read_field(row, "classes", (list,))
     return api.Settings(
-        classes=tuple(_task_class(item, at, extra) for at, item in enumerate(classes)),
+        classes=tuple(_read_task_class(item, at, extra) for at, item in enumerate(classes)),
         kinds=tuple(api.MachineKind(float(c), float(m)) for c, m in zip(sizes, memories, strict=True)),
-        tenants=_tenants(row.get("realms"), extra.get("tenant-quota-cores")),
+        tenants=_read_tenants(row.get("realms"), extra.get("tenant-quota-cores")),
         schedulers=read_int(row, "balancers", 1),
         ordinal=read_int(row, "ordinal", 0),
         zone=read_int(row, "my-zone", 0),
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from ladderhub.benchlink import Link
+from ladderhub.benchlink import SimulatorAdapter
 from ladderhub.decide import Scheduler
 
 ROOT = Path(__file__).parents[1]
@@ -158,10 +158,10 @@
     ),
     "wrong type": (START + batch(2, DEMAND | {"cores-asked": "two"}), "line 7: field 'cores-asked'"),
     "a flag for a number": (START + batch(2, DEMAND | {"rid": True}), "line 7: field 'rid'"),
-    "unborn": (batch(2, DEMAND), "line 2: Demand for instance 'scheduler_0', which is not born"),
+    "unborn": (batch(2, DEMAND), "line 2: Demand for instance 'scheduler_0', which is not running"),
     "dead": (
         START + batch(2, {"what": "CrashNow", "scheduler": "scheduler_0"}, DEMAND),
-        "line 8: Demand for instance 'scheduler_0', which is not born",
+        "line 8: Demand for instance 'scheduler_0', which is not running",
     ),
     "no such table": (START + batch(2, ROSTER | {"roster-id": 9}), "line 7: no Table has the number 9"),
     "unknown code": (
@@ -200,10 +200,10 @@
     def fail(*_: object) -> None:
         raise IndexError("list index out of range")
 
-    link = Link()
-    link.event(1, BORN)
+    adapter = SimulatorAdapter()
+    adapter.handle_row(1, BORN)
     monkeypatch.setattr(Scheduler, "handle", fail)
-    rows = link.event(2, {"what": "CancelledByClient", "scheduler": "scheduler_0", "rid": 1})
+    rows = adapter.handle_row(2, {"what": "CancelledByClient", "scheduler": "scheduler_0", "rid": 1})
     assert rows == [
         {
             "scheduler": "scheduler_0",
