--- a/ladderhub/decide/accounts.py
+++ b/ladderhub/decide/accounts.py
@@ -123,11 +123,11 @@
     def apply_update(self, event: PeerMessage, machines: Iterable[Machine]) -> None:
         if len(event.data) % PEER_RECORD.size or not 0 <= event.peer < self.settings.schedulers:
             return
-        told = {
+        reported = {
             id_hash: (c / PEER_RECORD_PARTS, m / PEER_RECORD_PARTS)
             for id_hash, c, m in PEER_RECORD.iter_unpack(event.data)
         }
         for machine in machines:
-            if machine.id_hash in told:
-                machine.requested.peers[event.peer] = told[machine.id_hash]
+            if machine.id_hash in reported:
+                machine.requested.peers[event.peer] = reported[machine.id_hash]
                 machine.requested.recompute()
--- a/tests/decide/test_module.py
+++ b/tests/decide/test_module.py
@@ -1,4 +1,4 @@
-"""Limits on the decision module that the operators set."""
+"""Requirements of the operators on the decision module."""
 
 import re
 import tomllib
@@ -18,7 +18,7 @@
         lines = (ROOT / name).read_text().splitlines()
         assert (
             sum(bool(line.strip()) for line in lines) <= 200
-        ), f"{name}: make it modules of one subject each"
+        ), f"{name}: split it into modules of one subject each"
         assert max(len(line) for line in lines) <= 110
 
 
--- a/tests/decide/test_recorded.py
+++ b/tests/decide/test_recorded.py
@@ -1,8 +1,8 @@
-"""Recorded days: the module gives the same actions, to the letter, as the one file that it was split from.
+"""Guards against unintended changes of decisions: seeded streams must give exactly the recorded actions.
 
-The digests were taken from that file (commit 020b92d).  A change that is meant to change choices takes them
-anew and says so; one that is not meant to fails here.  Taken anew since: repeats of keyed tasks end a margin
-before their window does."""
+The digests were recorded at commit 020b92d, before the module was split into files, and again when repeats of
+keyed tasks were made to end a margin before their window.  A change that is meant to alter decisions records
+them again and says so."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 import pytest
 
 from ladderhub.interface import Action, LoadReport, Tenant
-from tests.decide.test_property import CLASSES, Stream
-from tests.helpers import settings
+from tests.decide.test_property import CLASSES, EventStream
+from tests.helpers import make_settings
 
-DAYS: dict[str, tuple[str, dict[str, Any]]] = {
+STREAMS: dict[str, tuple[str, dict[str, Any]]] = {
     "one, list with room": ("15e2d84007561dfa 4fb532038cef0940", {"list_shows_room": True}),
     "three that tell": (
         "9fb34cf9e95fd030 09ea02b33c381687", {"schedulers": 3, "ordinal": 1, "may_message": True},
@@ -34,12 +34,14 @@
 }  # fmt: skip
 
 
-def digest(seed: int, changes: dict[str, Any]) -> str:
-    """Of all actions of a seeded day of 3,000 steps, with their times."""
-    given = settings(*CLASSES, tenants=(Tenant(0.8), Tenant(0.2)), **({"cold_safe_offers": 9.0} | changes))
-    stream = Stream(given, seed)
-    log: list[tuple[int, Action]] = stream.bed.log
-    stream.reports = lambda: LoadReport(
+def compute_digest(seed: int, changes: dict[str, Any]) -> str:
+    """Return a digest of all actions of a seeded stream of 3,000 steps, with their times."""
+    settings = make_settings(
+        *CLASSES, tenants=(Tenant(0.8), Tenant(0.2)), **({"cold_safe_offers": 9.0} | changes)
+    )
+    stream = EventStream(settings, seed)
+    log: list[tuple[int, Action]] = stream.harness.log
+    stream.make_report = lambda: LoadReport(
         cores_free=stream.random.uniform(0, 16), memory_free=stream.random.uniform(0, 32)
     )
     for _ in range(3_000):
@@ -47,7 +49,7 @@
     return hashlib.sha256(repr(log).encode()).hexdigest()[:16]
 
 
-@pytest.mark.parametrize("name", DAYS)
-def test_a_recorded_day_gives_the_same_actions(name: str) -> None:
-    recorded, changes = DAYS[name]
-    assert [digest(seed, changes) for seed in (1, 2)] == recorded.split()
+@pytest.mark.parametrize("name", STREAMS)
+def test_a_recorded_stream_gives_the_same_actions(name: str) -> None:
+    recorded, changes = STREAMS[name]
+    assert [compute_digest(seed, changes) for seed in (1, 2)] == recorded.split()
--- a/tests/decide/test_waiting.py
+++ b/tests/decide/test_waiting.py
@@ -1,70 +1,72 @@
-"""Tasks that wait for a machine: what one look at them may take, and whose turn it is."""
+"""Tasks that wait for a machine: the cost of one sweep over them, and the order in which they are tried."""
 
 from __future__ import annotations
 
 from ladderhub.decide.scheduler import SWEEP_INTERVAL_NS
 from ladderhub.interface import Effect, Send, Stage, TaskClass
-from tests.helpers import CLASS, Bed, S, settings
+from tests.helpers import CLASS, SchedulerHarness, S, make_settings
 
 MACHINES = 400
-LOOKS_MOST = 16_384 // MACHINES
-MANY = 6 * LOOKS_MOST
+MAX_PICKS = 16_384 // MACHINES
+TASKS = 6 * MAX_PICKS
 URGENT = TaskClass(Effect.SAFE, aim_ns=S, deadline_ns=5 * S, priority=1)
 
 
-def waiting_bed() -> Bed:
-    """No machine serves, many tasks wait, and then machines come back."""
-    bed = Bed(settings(CLASS, URGENT), machines=MACHINES)
-    for machine in [entry.machine for entry in bed.entries]:
-        bed.change(machine, stage=Stage.DRAINING)
-    for task in range(MANY):
-        assert not bed.ask(task, cores=0.1, memory=0.1)
-    for machine in [entry.machine for entry in bed.entries]:
-        bed.change(machine, stage=Stage.SERVING)
-    return bed
+def make_waiting_harness() -> SchedulerHarness:
+    """Return a harness in which many tasks wait, as no machine served, and all machines serve again."""
+    harness = SchedulerHarness(make_settings(CLASS, URGENT), machines=MACHINES)
+    for machine in [entry.machine for entry in harness.entries]:
+        harness.change_machine(machine, stage=Stage.DRAINING)
+    for task in range(TASKS):
+        assert not harness.ask(task, cores=0.1, memory=0.1)
+    for machine in [entry.machine for entry in harness.entries]:
+        harness.change_machine(machine, stage=Stage.SERVING)
+    return harness
 
 
-def sent_in(bed: Bed) -> list[int]:
-    """The tasks sent in the next look at those that wait."""
-    return [action.task for action in bed.wait(SWEEP_INTERVAL_NS) if isinstance(action, Send)]
+def get_tasks_sent_in_sweep(harness: SchedulerHarness) -> list[int]:
+    """Return the tasks sent in the next sweep over the waiting tasks."""
+    return [action.task for action in harness.wait(SWEEP_INTERVAL_NS) if isinstance(action, Send)]
 
 
-def test_one_look_at_waiting_tasks_places_a_bounded_number_and_the_next_ones_the_rest() -> None:
-    # Guards against one event that holds up the loop for over a second as hundreds find room at once.
-    bed = waiting_bed()
-    sweeps = [sent_in(bed) for _ in range(MANY // LOOKS_MOST + 1)]
-    assert max(map(len, sweeps)) <= LOOKS_MOST
-    assert sorted(task for sweep in sweeps for task in sweep) == list(range(MANY))
+def test_one_sweep_places_a_bounded_number_of_tasks_and_the_next_ones_the_rest() -> None:
+    # Guards against an event that blocks the loop for over a second when hundreds of tasks find room at once.
+    harness = make_waiting_harness()
+    sweeps = [get_tasks_sent_in_sweep(harness) for _ in range(TASKS // MAX_PICKS + 1)]
+    assert max(map(len, sweeps)) <= MAX_PICKS
+    assert sorted(task for sweep in sweeps for task in sweep) == list(range(TASKS))
 
 
 def test_a_task_of_a_higher_class_goes_before_the_rest_of_a_pass() -> None:
-    bed = waiting_bed()
-    sent_in(bed)
-    for machine in [entry.machine for entry in bed.entries]:
-        bed.change(machine, stage=Stage.DRAINING)
-    assert not bed.ask(MANY, klass=1, cores=0.1, memory=0.1)
-    for machine in [entry.machine for entry in bed.entries]:
-        bed.change(machine, stage=Stage.SERVING)
-    assert sent_in(bed)[0] == MANY
+    harness = make_waiting_harness()
+    get_tasks_sent_in_sweep(harness)
+    for machine in [entry.machine for entry in harness.entries]:
+        harness.change_machine(machine, stage=Stage.DRAINING)
+    assert not harness.ask(TASKS, klass=1, cores=0.1, memory=0.1)
+    for machine in [entry.machine for entry in harness.entries]:
+        harness.change_machine(machine, stage=Stage.SERVING)
+    assert get_tasks_sent_in_sweep(harness)[0] == TASKS
 
 
-def test_those_that_find_nothing_do_not_keep_the_others_from_their_turn() -> None:
-    # Guards against a bounded look that begins with the same tasks each time.
-    bed = Bed(settings(), machines=MACHINES)
-    machines = [entry.machine for entry in bed.entries]
+def test_tasks_that_find_no_machine_do_not_block_the_others() -> None:
+    # Guards against a bounded sweep that begins with the same tasks each time.
+    harness = SchedulerHarness(make_settings(), machines=MACHINES)
+    machines = [entry.machine for entry in harness.entries]
     for machine in machines:
-        bed.change(machine, stage=Stage.DRAINING)
-    stuck = 3 * LOOKS_MOST
+        harness.change_machine(machine, stage=Stage.DRAINING)
+    stuck = 3 * MAX_PICKS
     for task in range(stuck):
-        bed.ask(task, cores=0.1, memory=0.1, service=f"svc-{task}")
-    for held in bed.scheduler.waiting_tasks.values():
-        held.excluded |= set(machines)
-    bed.ask(stuck, cores=0.1, memory=0.1)
-    bed.change("m0", stage=Stage.SERVING)
-    sweeps = [sent_in(bed) for _ in range(stuck // LOOKS_MOST + 1)]
+        harness.ask(task, cores=0.1, memory=0.1, service=f"svc-{task}")
+    for task_state in harness.scheduler.waiting_tasks.values():
+        task_state.excluded |= set(machines)
+    harness.ask(stuck, cores=0.1, memory=0.1)
+    harness.change_machine("m0", stage=Stage.SERVING)
+    sweeps = [get_tasks_sent_in_sweep(harness) for _ in range(stuck // MAX_PICKS + 1)]
     assert [task for sweep in sweeps for task in sweep] == [stuck]
 
 
-def test_a_look_weighs_no_more_machines_in_a_large_fleet() -> None:
+def test_a_sweep_examines_no_more_machines_in_a_large_fleet() -> None:
     for machines, most in ((40, 16_384 // 40), (1024, 16), (3200, 8)):
-        assert Bed(settings(), machines=machines).scheduler.wait_queue.get_max_picks() == most
+        assert (
+            SchedulerHarness(make_settings(), machines=machines).scheduler.wait_queue.get_max_picks() == most
+        )
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A small bed for the decision module: settings, a fleet, and the events that a test needs."""
+"""Test harness for the decision module: settings, a fleet, and the events that tests need."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 CLASS = TaskClass(Effect.SAFE, aim_ns=S, deadline_ns=5 * S, dedupe_window_ns=2 * S)
 
 
-def settings(*classes: TaskClass, **changes: Any) -> Settings:
+def make_settings(*classes: TaskClass, **changes: Any) -> Settings:
     base = Settings(
         classes=classes or (CLASS,),
         kinds=(MachineKind(16.0, 32.0), MachineKind(32.0, 64.0)),
@@ -58,24 +58,24 @@
 
 
 def count_calls(work: Callable[[], T]) -> tuple[T, int]:
-    """What the work gives, and how many calls it took: a cost that no clock is asked for."""
+    """Return the result of the work and how many calls it made: a measure of cost without a clock."""
     profile = cProfile.Profile(builtins=False)
-    given = profile.runcall(work)
-    return given, sum(entry.callcount for entry in profile.getstats())
+    result = profile.runcall(work)
+    return result, sum(entry.callcount for entry in profile.getstats())
 
 
-class Bed:
-    """One scheduler on a clock that the test moves; timers that come due are delivered on the way."""
+class SchedulerHarness:
+    """One scheduler on a clock that the test advances; timers that expire on the way are delivered."""
 
-    def __init__(self, given: Settings, machines: int = 3, seed: int = 1) -> None:
-        self.scheduler = Scheduler(given, seed)
+    def __init__(self, settings: Settings, machines: int = 3, seed: int = 1) -> None:
+        self.scheduler = Scheduler(settings, seed)
         self.now = 100 * S
         self.timers: list[SetTimer] = []
         self.log: list[tuple[int, Action]] = []
         self.entries = tuple(
             MachineEntry(f"m{at}", Stage.SERVING, kind=0, zone=at % 2, cell=at % 2) for at in range(machines)
         )
-        self.listed(ListKind.RECALLED, *self.entries)
+        self.send_list(ListKind.RECALLED, *self.entries)
 
     def feed(self, event: Event) -> list[Action]:
         actions = self.scheduler.handle(self.now, event)
@@ -86,37 +86,37 @@
     def wait(self, span_ns: int) -> list[Action]:
         until, seen = self.now + span_ns, []
         while due := [timer for timer in self.timers if timer.at_ns <= until]:
-            timer = min(due, key=lambda waiting: (waiting.at_ns, waiting.timer))
+            timer = min(due, key=lambda each: (each.at_ns, each.timer))
             self.timers.remove(timer)
             self.now = max(self.now, timer.at_ns)
             seen += self.feed(TimerFired(timer.timer))
         self.now = until
         return seen
 
-    def listed(self, kind: ListKind, *entries: MachineEntry) -> None:
+    def send_list(self, kind: ListKind, *entries: MachineEntry) -> None:
         self.feed(MachineList(kind, 1, entries))
 
-    def change(self, machine: str, **changes: Any) -> None:
+    def change_machine(self, machine: str, **changes: Any) -> None:
         self.entries = tuple(
             replace(entry, **changes) if entry.machine == machine else entry for entry in self.entries
         )
         changed = next(entry for entry in self.entries if entry.machine == machine)
-        self.listed(ListKind.CHANGES, changed)
+        self.send_list(ListKind.CHANGES, changed)
 
-    def asked(self, task: int, **changes: Any) -> TaskAsked:
+    def make_request(self, task: int, **changes: Any) -> TaskAsked:
         base = TaskAsked(task, f"key-{task}", 0, "svc", 1.0, 1.0, 5 * S)
         return replace(base, **changes)
 
     def ask(self, task: int, **changes: Any) -> list[Action]:
-        return self.feed(self.asked(task, **changes))
+        return self.feed(self.make_request(task, **changes))
 
     def place(self, task: int, **changes: Any) -> str:
-        """Ask, and let the task run at once; gives the machine."""
-        sent = self.sent(self.ask(task, **changes))
-        self.placed(task, sent.machine)
+        """Ask for a task and let it run at once; return the machine."""
+        sent = self.get_send(self.ask(task, **changes))
+        self.report_placed(task, sent.machine)
         return sent.machine
 
-    def placed(self, task: int, machine: str, attempt: int = 0) -> list[Action]:
+    def report_placed(self, task: int, machine: str, attempt: int = 0) -> list[Action]:
         actions = self.feed(TaskPlaced(task, attempt, machine))
         if not self.scheduler.settings.first_at_running:
             actions += self.feed(TaskNote(task, attempt, machine, Topic.RUNNING))
@@ -135,7 +135,7 @@
         return self.feed(AttemptEnded(task, attempt, machine, outcome, reason, over))
 
     @staticmethod
-    def sent(actions: list[Action]) -> Send:
+    def get_send(actions: list[Action]) -> Send:
         sends = [action for action in actions if isinstance(action, Send)]
         assert len(sends) == 1, actions
         return sends[0]
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -1,4 +1,4 @@
-"""The adapter: a hand-written exchange by the deploy file, and input that is not the wire."""
+"""The simulator adapter: a hand-written exchange, run as the deploy file says, and malformed input."""
 
 from __future__ import annotations
 
@@ -54,12 +54,12 @@
 }
 
 
-def batch(now_ns: int, *events: dict[str, Any]) -> str:
+def make_batch(now_ns: int, *events: dict[str, Any]) -> str:
     rows = [{"what": "Round", "wall-ns": now_ns}, *events, {"what": "EofBatch"}]
     return "".join(json.dumps(row) + "\n" for row in rows)
 
 
-def run(text: str, **environment: str) -> subprocess.CompletedProcess[str]:
+def run_adapter(text: str, **environment: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
         [sys.executable, "-m", "ladderhub.benchlink"],
         input=text,
@@ -72,7 +72,7 @@
     )
 
 
-def replies(text: str) -> list[list[dict[str, Any]]]:
+def parse_replies(text: str) -> list[list[dict[str, Any]]]:
     done: list[list[dict[str, Any]]] = [[]]
     for line in text.splitlines():
         row = json.loads(line)
@@ -84,21 +84,21 @@
 
 
 EXCHANGE = (
-    batch(5)
-    + batch(1000 * MS, BORN, TABLE, ROSTER)
-    + batch(1002 * MS, DEMAND)
-    + batch(
+    make_batch(5)
+    + make_batch(1000 * MS, BORN, TABLE, ROSTER)
+    + make_batch(1002 * MS, DEMAND)
+    + make_batch(
         1010 * MS,
         {"what": "Answer", "scheduler": "scheduler_0", "rid": 11, "outcome": 2, "detail": 3, "trial": 0}
         | {"machine": "10.0.0.1:7000", "feedback": [12.5, 20, 0.4]},
     )
-    + batch(6000 * MS, {"what": "Alarm", "scheduler": "scheduler_0", "cookie": 13})
-    + batch(6001 * MS, {"what": "CrashNow", "scheduler": "scheduler_0"}, BORN, ROSTER)
+    + make_batch(6000 * MS, {"what": "Alarm", "scheduler": "scheduler_0", "cookie": 13})
+    + make_batch(6001 * MS, {"what": "CrashNow", "scheduler": "scheduler_0"}, BORN, ROSTER)
 )
 
 
 def check_exchange(output: str) -> None:
-    empty, born, asked, refused, alarm, again = replies(output)
+    empty, born, asked, refused, alarm, again = parse_replies(output)
     assert empty == born == again == []
     bind = {"scheduler": "scheduler_0", "what": "Bind", "rid": 11, "machine": "10.0.0.1:7000"}
     assert bind.items() <= asked[-1].items()
@@ -107,7 +107,7 @@
 
 
 def test_a_short_exchange() -> None:
-    done = run(EXCHANGE)
+    done = run_adapter(EXCHANGE)
     assert (done.returncode, done.stderr) == (0, "")
     check_exchange(done.stdout)
 
@@ -137,36 +137,38 @@
 
 
 def test_hash_seeds_do_not_matter() -> None:
-    assert len({run(EXCHANGE, PYTHONHASHSEED=seed).stdout for seed in ("0", "1", "77")}) == 1
+    assert len({run_adapter(EXCHANGE, PYTHONHASHSEED=seed).stdout for seed in ("0", "1", "77")}) == 1
 
 
-START = batch(1, BORN, TABLE, ROSTER)
+START = make_batch(1, BORN, TABLE, ROSTER)
 BROKEN = {
     "not JSON": ("{what\n", "line 1: not JSON"),
     "not an object": ("[1]\n", "line 1: not an object"),
     "no round": (json.dumps(DEMAND) + "\n", "line 1: Demand outside a batch"),
-    "no such class": (START + batch(2, DEMAND | {"category": 9}), "'category' holds 9"),
-    "no such tenant": (START + batch(2, DEMAND | {"project": 9}), "'project' holds 9"),
+    "no such class": (START + make_batch(2, DEMAND | {"category": 9}), "'category' holds 9"),
+    "no such tenant": (START + make_batch(2, DEMAND | {"project": 9}), "'project' holds 9"),
     "two rounds": ('{"what":"Round","wall-ns":1}\n' * 2, "line 2: a Round inside a batch"),
     "unknown event": (
-        START + batch(2, {"what": "Surprise", "scheduler": "scheduler_0"}),
+        START + make_batch(2, {"what": "Surprise", "scheduler": "scheduler_0"}),
         "line 7: unknown event 'Surprise'",
     ),
     "missing field": (
-        START + batch(2, {key: value for key, value in DEMAND.items() if key != "group"}),
+        START + make_batch(2, {key: value for key, value in DEMAND.items() if key != "group"}),
         "line 7: missing field 'group'",
     ),
-    "wrong type": (START + batch(2, DEMAND | {"cores-asked": "two"}), "line 7: field 'cores-asked'"),
-    "a flag for a number": (START + batch(2, DEMAND | {"rid": True}), "line 7: field 'rid'"),
-    "unborn": (batch(2, DEMAND), "line 2: Demand for instance 'scheduler_0', which is not running"),
+    "wrong type": (START + make_batch(2, DEMAND | {"cores-asked": "two"}), "line 7: field 'cores-asked'"),
+    "a flag for a number": (START + make_batch(2, DEMAND | {"rid": True}), "line 7: field 'rid'"),
+    "unborn": (make_batch(2, DEMAND), "line 2: Demand for instance 'scheduler_0', which is not running"),
     "dead": (
-        START + batch(2, {"what": "CrashNow", "scheduler": "scheduler_0"}, DEMAND),
+        START + make_batch(2, {"what": "CrashNow", "scheduler": "scheduler_0"}, DEMAND),
         "line 8: Demand for instance 'scheduler_0', which is not running",
     ),
-    "no such table": (START + batch(2, ROSTER | {"roster-id": 9}), "line 7: no Table has the number 9"),
+    "no such table": (START + make_batch(2, ROSTER | {"roster-id": 9}), "line 7: no Table has the number 9"),
     "unknown code": (
         START
-        + batch(2, {"what": "Probed", "scheduler": "scheduler_0", "machine": "10.0.0.1:7000", "outcome": 99}),
+        + make_batch(
+            2, {"what": "Probed", "scheduler": "scheduler_0", "machine": "10.0.0.1:7000", "outcome": 99}
+        ),
         "line 7: field 'outcome' holds the unknown code 99",
     ),
     "cut short": (START + json.dumps({"what": "Round", "wall-ns": 9}) + "\n", "ends inside a batch"),
@@ -174,9 +176,9 @@
 
 
 @pytest.mark.parametrize("name", BROKEN)
-def test_what_is_not_the_wire_ends_it_with_one_plain_message(name: str) -> None:
+def test_malformed_input_ends_the_adapter_with_one_message(name: str) -> None:
     text, message = BROKEN[name]
-    done = run(text)
+    done = run_adapter(text)
     assert done.returncode == 2
     assert len(done.stderr.splitlines()) == 1
     assert message in done.stderr
@@ -184,10 +186,10 @@
         assert "what" in json.loads(line)
 
 
-def test_settings_without_sense_are_told_as_the_instances_fault() -> None:
-    done = run(batch(1, BORN | {"settings": SETTINGS | {"classes": []}}))
+def test_invalid_settings_are_reported_as_an_internal_error() -> None:
+    done = run_adapter(make_batch(1, BORN | {"settings": SETTINGS | {"classes": []}}))
     assert done.returncode == 0
-    assert replies(done.stdout)[0] == [
+    assert parse_replies(done.stdout)[0] == [
         {
             "scheduler": "scheduler_0",
             "what": "InternalError",
@@ -196,7 +198,7 @@
     ]
 
 
-def test_an_exception_in_the_module_is_told(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_in_the_module_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     def fail(*_: object) -> None:
         raise IndexError("list index out of range")
 
@@ -213,8 +215,8 @@
     ]
 
 
-def test_a_table_number_used_again_holds_for_what_comes_after() -> None:
+def test_a_reused_table_number_applies_to_later_events() -> None:
     other = {"what": "Table", "roster-id": 3, "entries": [ENTRY | {"machine": "10.0.0.2:7000"}]}
-    text = batch(1, BORN, TABLE, ROSTER, other, ROSTER | {"how": "snapshot"}) + batch(2, DEMAND)
-    binds = [row for row in replies(run(text).stdout)[1] if row["what"] == "Bind"]
+    text = make_batch(1, BORN, TABLE, ROSTER, other, ROSTER | {"how": "snapshot"}) + make_batch(2, DEMAND)
+    binds = [row for row in parse_replies(run_adapter(text).stdout)[1] if row["what"] == "Bind"]
     assert [row["machine"] for row in binds] == ["10.0.0.2:7000"]
