--- a/ladderhub/decide/accounts.py
+++ b/ladderhub/decide/accounts.py
@@ -10,11 +10,9 @@
 
 INITIAL_CORE_USE, INITIAL_MEMORY_USE = 0.6, 0.8  # used per requested, before any note arrived
 MEMORY_PRESSURE_LEVEL = 0.9  # share of the memory: machines slow down, then evict, as its use nears the whole
-POOR_SERVICE_FILL = (
-    0.3  # added to the fill where tasks got no service at all; in proportion where they got some
-)
+POOR_SERVICE_FILL = 0.3  # added to the fill where tasks got no service, in proportion where they got some
 PEER_UPDATE_INTERVAL_NS = 200 * MS  # peers learn of changes sooner than from any list
-MAX_PEER_UPDATE_COST = 0.006  # share of the result, at two records a task; each receiver has its price
+MAX_PEER_UPDATE_COST = 0.006  # share of the result, at two records a task; messages are charged per receiver
 # A machine's hash, and the cores and memory requested there in eighths.
 PEER_RECORD, PEER_RECORD_PARTS = struct.Struct(">IHH"), 8
 
--- a/ladderhub/decide/estimates.py
+++ b/ladderhub/decide/estimates.py
@@ -10,7 +10,7 @@
 INITIAL_COLD_NS = 2 * S  # but not at the price of a long queue
 UNCROWDED_FILL = 0.8  # projected use over the calm level up to which crowding adds no delay
 MIN_TIMEOUT_NS = 1_500 * MS  # shortest time-out of a repeatable offer
-TIMEOUT_FACTOR = 2.0  # time-out over the expected time of a cold start: most cold starts must finish in it
+TIMEOUT_FACTOR = 2.0  # of the expected cold start: most cold starts must finish within the time-out
 # The same where machines answer on acceptance; the factor applies to the mean time to acceptance.
 MIN_ACCEPT_TIMEOUT_NS, ACCEPT_TIMEOUT_FACTOR = 1 * S, 8.0
 
@@ -59,7 +59,8 @@
         return 1 / (pace + (1 - pace) * max(0, age) / span) if is_fresh else 1.0
 
     def choose_timeout(self, now: int, task: Task, attempt: Attempt) -> int | None:
-        """Return None for unsafe tasks and last attempts: after a time-out they could only fail."""
+        """Return the time-out of an offer.  Unsafe tasks and last attempts get None, all the time that the task
+        has: after a time-out they could only fail."""
         if task.accepted_class.effect is Effect.UNSAFE or task.used_attempts >= self.settings.max_attempts:
             return None
         if self.settings.first_at_running:
--- a/ladderhub/decide/records.py
+++ b/ladderhub/decide/records.py
@@ -159,9 +159,7 @@
         self.accepted_class = klass if asked.effect is None else replace(klass, effect=asked.effect)
         self.class_and_tenant = (asked.klass, asked.tenant)
         self.deadline_ns = now + asked.budget_ns
-        self.sent_count = self.used_attempts = (
-            0  # offers sent, and those of them that count against the limit
-        )
+        self.sent_count = self.used_attempts = 0  # offers sent, and those that count against the limit
         self.attempt: Attempt | None = None
         self.placed = self.ended = False
         self.first_possible_run: tuple[Machine, int] | None = None  # first attempt that may have run
--- a/ladderhub/decide/rules.py
+++ b/ladderhub/decide/rules.py
@@ -7,9 +7,7 @@
 from ladderhub.interface import Effect, Scope, SeatShare, Settings
 
 MIN_QUOTA_TO_SPLIT = 16  # offers; from this quota on, one scheduler uses less than half of it in a window
-COLD_WINDOW_SLACK = (
-    1.25  # the cold budget's window is lengthened by this: offers are delayed unevenly in transit
-)
+COLD_WINDOW_SLACK = 1.25  # factor on the cold budget's window: offers are delayed unevenly in transit
 
 
 def compute_cold_spans(settings: Settings) -> tuple[int, int]:
@@ -28,9 +26,7 @@
         self.lease_until_ns: int | None = None  # None: the scheduler's own ordinal doesn't expire
         self.fresh_blocked_until_ns = 0  # until then, fresh machines get no offers
         self.cold_window_ns, self.fresh_span_ns = compute_cold_spans(settings)
-        self.spread_counts: dict[
-            str, Counter[Machine]
-        ] = {}  # attempts and open tasks, by service and machine
+        self.spread_counts: dict[str, Counter[Machine]] = {}  # attempts and open tasks, by service
 
     def may_attempt(self, now: int, task: Task) -> bool:
         """Tell whether the task may have a further attempt on any machine."""
