--- a/ladderhub/decide/estimates.py
+++ b/ladderhub/decide/estimates.py
@@ -59,8 +59,8 @@
         return 1 / (pace + (1 - pace) * max(0, age) / span) if is_fresh else 1.0
 
     def choose_timeout(self, now: int, task: Task, attempt: Attempt) -> int | None:
-        """Return the time-out of an offer.  Unsafe tasks and last attempts get None, all the time that the task
-        has: after a time-out they could only fail."""
+        """Return the time-out of an offer.  Unsafe tasks and last attempts get None, all the time there is:
+        after a time-out they could only fail."""
         if task.accepted_class.effect is Effect.UNSAFE or task.used_attempts >= self.settings.max_attempts:
             return None
         if self.settings.first_at_running:
