--- a/ladderhub/owner/__init__.py
+++ b/ladderhub/owner/__init__.py
@@ -1,6 +1,7 @@
-"""Decisions on a job between its placings: when to ask again, when to wait, when a stop or a query is due.
+"""The life cycle of a job between placements: when to request one again, to wait, to query or to stop a run.
 
-Pure: events and time in, actions out; no I/O, clock or globals.  Imports only `ladderhub.interface`.
+Pure: takes events and the time, returns actions; no I/O, clock or globals.  Imports only
+`ladderhub.interface`.
 """
 
 from ladderhub.owner.decide import Owner
--- a/ladderhub/owner/types.py
+++ b/ladderhub/owner/types.py
@@ -1,7 +1,8 @@
-"""Events and actions of the owner's decisions.  Times and spans are nanoseconds on one clock.
+"""Events, actions and state of `Owner`.  Times and durations are nanoseconds on one clock.
 
-A *job* is what a person submitted.  Each *ask* hands it to the decision module as one task; each *run* is one
-offer sent to a machine, numbered over the whole job, so that a machine's word always names what it speaks of.
+A *job* is what a user submitted.  Each placement *request* hands it to the decision module as one task.  Each
+*run* is one offer sent to a machine.  Runs are numbered per job across its requests, so that every report of
+a machine identifies its run.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 
 class Answer(Enum):
-    """The one answer that a placing is owed."""
+    """The single answer that each placement gets."""
 
     PLACED = "placed"
     REFUSED = "refused"
@@ -21,13 +22,13 @@
 
 
 class RunStatus(Enum):
-    """What a machine says of a run: it runs, it has ended, it never ran and never will, or nothing."""
+    """What a machine replies about a run."""
 
     RUNS = "runs"
     ENDED = "ended"
-    NEVER = "never"
+    NEVER = "never"  # it never ran and never will
     STOPPING = "stopping"
-    SILENT = "silent"
+    SILENT = "silent"  # there was no usable reply
 
 
 class End(Enum):
@@ -43,11 +44,11 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueRules:
-    """What the owner of a queue's jobs allows.
+    """Limits and back-off for the jobs of a queue.
 
-    `limit_ns`: from being taken (or released from a hold) to the answer.  `request_limit_ns`: most for
-    one ask.  `max_requests`: most asks a placing.  `max_reruns`: most placings after a first one was lost or
-    sent away."""
+    `limit_ns`: from submission (or release from a hold) to the answer.  `request_limit_ns`: for one request.
+    `max_requests`: per placement.  `max_reruns`: further placements after one was lost or sent away.
+    `query_delay_ns`: before the first query of a run in doubt."""
 
     effect: Effect
     limit_ns: int
@@ -62,7 +63,11 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnerSettings:
-    """`retry_share`: asks again that each new job pays for; `retry_burst`: most that can be saved up."""
+    """Settings of the life cycle of jobs.
+
+    `retry_share`: retries that each new job adds to the retry budget; `retry_burst`: most that the budget
+    holds.  `answer_margin_ns`: how long before its deadline a job is answered.  `orphan_timeout_ns`: for how
+    long runs of finished jobs are told to stop."""
 
     queues: tuple[QueueRules, ...]
     retry_share: float = 0.5
@@ -73,15 +78,18 @@
     orphan_timeout_ns: int = 600_000_000_000
 
     def __post_init__(self) -> None:
-        for at, queue in enumerate(self.queues):
+        # The messages use the names of the settings file.
+        for index, queue in enumerate(self.queues):
             if queue.limit_ns <= 2 * self.answer_margin_ns:
                 raise ValueError(
-                    f"queues[{at}].limit: must be above {2 * self.answer_margin_ns // 1_000_000} ms"
+                    f"queues[{index}].limit: must be above {2 * self.answer_margin_ns // 1_000_000} ms"
                 )
             if queue.request_limit_ns <= 0 or queue.max_requests < 1 or queue.max_reruns < 0:
-                raise ValueError(f"queues[{at}]: ask must be above 0, asks at least 1, reruns not negative")
+                raise ValueError(
+                    f"queues[{index}]: ask must be above 0, asks at least 1, reruns not negative"
+                )
             if not 0 < queue.min_backoff_ns <= queue.max_backoff_ns:
-                raise ValueError(f"queues[{at}]: stay_first must be above 0 and at most stay_most")
+                raise ValueError(f"queues[{index}]: stay_first must be above 0 and at most stay_most")
         if self.retry_share < 0 or self.retry_burst < 1:
             raise ValueError("again_share must not be negative, again_burst at least 1")
 
@@ -91,22 +99,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Submitted:
-    """A job was committed: from now on it is owed an answer.  `rerunnable`: its person allows new
-    placings."""
+    """A job was committed and must be answered.  `rerunnable`: its owner allows further placements."""
 
     job: int
     queue: int
     rerunnable: bool = True
     held: bool = False
-    stop_until_confirmed: bool = (
-        False  # its runs are chased until they are proven away, however long that takes
-    )
-    effect: Effect | None = None  # where it is not its queue's: a service keeps the one it was declared with
+    stop_until_confirmed: bool = False  # `orphan_timeout_ns` does not apply to its runs
+    effect: Effect | None = None  # if not its queue's: a service keeps the effect it was declared with
 
 
 @dataclass(frozen=True, slots=True)
 class Adopted:
-    """A machine was found running a job of an earlier life of this scheduler; its answer was given then."""
+    """A machine was found running a job of an earlier life of this scheduler, which has answered the job."""
 
     job: int
     queue: int
@@ -117,7 +122,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Altered:
-    """A person changed the job; `rerunnable` as in `Submitted`."""
+    """The owner changed the job; `rerunnable` as in `Submitted`."""
 
     job: int
     rerunnable: bool
@@ -125,7 +130,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sent:
-    """The module's offer left as this run."""
+    """The decision module's offer was sent as this run."""
 
     job: int
     request_id: int
@@ -143,7 +148,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NeverRan:
-    """The run is proven never to have run: refused, unreachable, or never sent."""
+    """The run is known never to have run: it was refused, unreachable or never sent."""
 
     job: int
     run: int
@@ -152,7 +157,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InDoubt:
-    """The run's answer did not come: it may run, or may yet be accepted."""
+    """The machine did not answer the offer: the run may be running, or may still be accepted."""
 
     job: int
     run: int
@@ -161,7 +166,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementRejected:
-    """The module's final answer to an ask was a refusal or a failure."""
+    """The decision module refused the request, or failed it (`failed`)."""
 
     job: int
     request_id: int
@@ -170,7 +175,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineReplied:
-    """A machine's word on a run, to a query or a stop."""
+    """A machine's reply to a query or a stop."""
 
     job: int
     run: int
@@ -189,76 +194,80 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineRestarted:
-    """A machine came up anew: what it ran before is over.
+    """A machine restarted; the runs it had before are over.
 
-    Which runs that are, the machine is asked: its clock and this one may differ."""
+    The machine is queried to find out which runs those are, because its clock may differ from this one."""
 
     machine: str
 
 
 @dataclass(frozen=True, slots=True)
 class MachineGone:
-    """A machine is listed as gone.  That proves nothing of what ran there."""
+    """A machine is listed as gone.  Its runs may still be alive."""
 
     machine: str
 
 
 @dataclass(frozen=True, slots=True)
 class Cancelled:
-    """The person wants the job ended."""
+    """The owner cancelled the job."""
 
     job: int
 
 
 @dataclass(frozen=True, slots=True)
 class Hold:
+    """The owner holds the job: it is not placed until its release."""
+
     job: int
 
 
 @dataclass(frozen=True, slots=True)
 class Release:
+    """The owner released a held job."""
+
     job: int
 
 
 @dataclass(frozen=True, slots=True)
 class Rerun:
-    """The person wants a running job stopped and placed again."""
+    """A running job is to be stopped and placed again."""
 
     job: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A `SetTimer` came due."""
+    """The job's timer fired."""
 
     job: int
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """From now on these settings hold.  Queues keep their index for good: new ones are appended, and one that
-    is gone stays in its place.  A placing that is owed keeps the rules it was taken by; the next one of the
-    same job has the new ones, but for its effect, which stays."""
+    """These settings apply from now on.
+
+    Queues keep their index: new ones are appended, and removed ones stay in place.  A placement that has not
+    been answered keeps its rules; the job's next placement uses the new ones, except for its effect."""
 
     settings: OwnerSettings
 
 
 @dataclass(frozen=True, slots=True)
 class RequestsPaused:
-    """Ask the module for nothing until `RequestsResumed`; jobs wait, with the reason, and their limits run
-    on."""
+    """No placements may be requested until `RequestsResumed`; jobs wait with this reason, deadlines apply."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class RequestsResumed:
-    """Jobs that waited for this are asked for now."""
+    """Placements may be requested again; those of the waiting jobs are requested now."""
 
 
 @dataclass(frozen=True, slots=True)
 class SchedulerStopping:
-    """The scheduler ends: settle what can be settled; `immediately`: no more time is left."""
+    """The scheduler stops: answer jobs that wait; `immediately`: also those being placed or in doubt."""
 
     immediately: bool = False
 
@@ -275,8 +284,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestPlacement:
-    """Hand the job to the module as a new task.  `effect`: what it was taken as, where that is not what its
-    queue says by now."""
+    """Hand the job to the decision module as a new task.
+
+    `is_retry`: the job was requested before.  `effect`: the job's own, if it differs from its queue's."""
 
     job: int
     request_id: int
@@ -287,7 +297,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Withdraw:
-    """Tell the module that this ask is no longer wanted."""
+    """Tell the decision module that this request is no longer wanted."""
 
     job: int
     request_id: int
@@ -295,7 +305,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Query:
-    """Ask the machine what became of the run, and have it bar the run where it does not know it."""
+    """Ask the machine for the run's status; if it doesn't know the run, it rejects it from then on."""
 
     job: int
     run: int
@@ -304,7 +314,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Stop:
-    """Have the machine end the run, and bar it where it does not know it."""
+    """Tell the machine to end the run; if it doesn't know the run, it rejects it from then on."""
 
     job: int
     run: int
@@ -313,7 +323,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Adopt:
-    """Hand the run to the module as a task that is open already."""
+    """Hand the run to the decision module as a task that is already placed."""
 
     job: int
     request_id: int
@@ -323,7 +333,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportAnswer:
-    """The placing's one answer."""
+    """Report the placement's answer."""
 
     job: int
     answer: Answer
@@ -332,7 +342,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Finish:
-    """The job is over."""
+    """The job is finished."""
 
     job: int
     status: int
@@ -341,7 +351,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Give a `TimerFired` at or after this moment; only the latest of a job counts."""
+    """Send `TimerFired` at or after this time; replaces the job's earlier timer."""
 
     job: int
     at_ns: int
@@ -356,36 +366,36 @@
 
     machine: str
     accepted: bool = False
-    stop: bool = False  # it is unwanted
-    doubt: bool = False  # its answer did not come
-    asked_ns: int = -1  # when the machine was last asked or told to stop
-    span_ns: int = 0
-    since_ns: int = 0
-    lasting: bool = False
+    unwanted: bool = False  # it is to be stopped
+    in_doubt: bool = False  # the machine did not answer the offer, or it restarted
+    last_message_ns: int = -1  # when the last query or stop was sent; -1: none yet
+    interval_ns: int = 0  # between queries or stops
+    since_ns: int = 0  # when it was sent, or its first query was due
+    stop_until_confirmed: bool = False
 
 
 @dataclass(slots=True)
 class Job:
-    """One job as the owner's decisions see it.  `rules` are those its present placing was taken by."""
+    """The state of one job.  `rules` are those of its current placement."""
 
     number: int
     queue: int
     rules: QueueRules
     rerunnable: bool
     state: str
-    limit_ns: int
-    lasting: bool = False
+    deadline_ns: int
+    stop_until_confirmed: bool = False
     runs: dict[int, Run] = field(default_factory=dict)
-    ask: int = 0
-    asks: int = 0
-    placings: int = 0
-    stay_ns: int = 0
-    until_ns: int = 0
+    request_id: int = 0  # of the latest request
+    request_count: int = 0  # of the current placement
+    placement_count: int = 0
+    backoff_ns: int = 0
+    wait_until_ns: int = 0
     answered: bool = False
-    hold_wanted: bool = False
-    paused: bool = False  # it waits for `RequestsResumed`
-    rerun: bool = False
-    came_again: bool = False
-    main_run: int = -1
-    why: str = ""
-    woken_ns: int = -1
+    hold_requested: bool = False
+    waits_for_resume: bool = False  # until `RequestsResumed`
+    rerun_requested: bool = False
+    is_retry: bool = False
+    main_run: int = -1  # the run that is its placement
+    state_reason: str = ""
+    timer_ns: int = -1  # -1: not set
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -1,4 +1,4 @@
-"""The owner's decisions: single cases, and seeded simulations of whole jobs against nodes that fail."""
+"""The life cycle of jobs: single cases, and seeded simulations of whole jobs on nodes that fail."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
     return [action for action in actions if isinstance(action, kind)]
 
 
-def asked(queue: int, **options: Any) -> Owner:
-    """An owner with one job that the module was asked for."""
+def owner_with_request(queue: int, **options: Any) -> Owner:
+    """An owner with one job whose placement has been requested."""
     owner = Owner(settings(**options), 1)
     assert only(owner.handle(0, t.Submitted(1, queue)), t.RequestPlacement)
     return owner
@@ -44,7 +44,7 @@
 
 
 def test_an_unsafe_job_with_a_run_in_doubt_is_not_asked_for_again() -> None:
-    owner = asked(UNSAFE)
+    owner = owner_with_request(UNSAFE)
     owner.handle(0, t.Sent(1, 1, 1, "a"))
     owner.handle(S, t.InDoubt(1, 1, "a: lost"))
     actions = owner.handle(S, t.PlacementRejected(1, 1, failed=True))
@@ -58,13 +58,13 @@
 
 
 def test_a_job_in_doubt_at_its_limit_fails_and_one_that_never_ran_is_refused() -> None:
-    owner = asked(UNSAFE)
+    owner = owner_with_request(UNSAFE)
     owner.handle(0, t.Sent(1, 1, 1, "a"))
     owner.handle(S, t.InDoubt(1, 1))
     owner.handle(S, t.PlacementRejected(1, 1, failed=True))
     settled = only(owner.handle(LIMIT, t.TimerFired(1)), t.ReportAnswer)
     assert settled[0].answer is t.Answer.FAILED and "may have run at a" in settled[0].reason
-    clean = asked(UNSAFE)
+    clean = owner_with_request(UNSAFE)
     clean.handle(0, t.Sent(1, 1, 1, "a"))
     clean.handle(S, t.NeverRan(1, 1, "a: no room"))
     clean.handle(S, t.PlacementRejected(1, 1))
@@ -73,8 +73,8 @@
 
 
 def test_a_run_that_nobody_wants_is_stopped_until_its_machine_says_so() -> None:
-    # Guards against a copy that lives on for ever behind a cut, after its job has its answer.
-    owner = asked(UNSAFE)
+    # Guards against a run that stays alive behind a network partition after its job was answered.
+    owner = owner_with_request(UNSAFE)
     owner.handle(0, t.Sent(1, 1, 1, "a"))
     owner.handle(S, t.InDoubt(1, 1))
     owner.handle(S, t.PlacementRejected(1, 1, failed=True))
@@ -89,7 +89,7 @@
 
 
 def test_a_lost_run_of_a_restarted_machine_is_placed_again_only_on_its_word() -> None:
-    owner = asked(UNSAFE)
+    owner = owner_with_request(UNSAFE)
     owner.handle(0, t.Sent(1, 1, 1, "a"))
     owner.handle(S, t.Accepted(1, 1))
     gone = owner.handle(2 * S, t.MachineGone("a"))
@@ -102,15 +102,15 @@
 
 
 def test_many_that_ask_again_share_one_budget_and_the_highest_priority_has_a_reserve() -> None:
-    # Guards against a retry storm: without the budget each of 100 jobs would ask again at once.
+    # Guards against a retry storm: without the budget each of the 100 jobs would retry at once.
     owner = Owner(settings(retry_share=0.0, retry_burst=20), 1)
-    waits: dict[int, int] = {}
+    retry_at_ns: dict[int, int] = {}
     for job in range(1, 101):
         owner.handle(0, t.Submitted(job, SAFE if job <= 90 else UNSAFE))
     for job in range(1, 101):
-        (wake,) = only(owner.handle(0, t.PlacementRejected(job, 1)), t.SetTimer)
-        waits[job] = wake.at_ns
-    soon = [job for job, at in waits.items() if at < 300 * MS]
+        (timer,) = only(owner.handle(0, t.PlacementRejected(job, 1)), t.SetTimer)
+        retry_at_ns[job] = timer.at_ns
+    soon = [job for job, at in retry_at_ns.items() if at < 300 * MS]
     assert len([job for job in soon if job <= 90]) == 15
     assert len([job for job in soon if job > 90]) == 5
 
@@ -146,29 +146,28 @@
 
 
 class Sim:
-    """Jobs, an owner, a module that offers as its classes allow, and nodes that lose words, stall and
-    restart.
+    """Simulates jobs, an owner, a decision module, and nodes that lose messages, stall and restart.
 
-    It sees everything: which runs are alive, at any moment."""
+    It knows at any time which runs are alive, and checks answers and copies as they come about."""
 
     def __init__(self, seed: int) -> None:
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.owner = Owner(settings(), seed)
         self.now = 0
         self._queue: list[tuple[int, int, Callable[[], None]]] = []
         self._count = self.steps = 0
         self.queues: dict[int, int] = {}
-        self.alive: dict[tuple[int, int], str] = {}  # run -> node on which it is committed
-        self.barred: set[tuple[int, int]] = set()
+        self.alive: dict[tuple[int, int], str] = {}  # (job, run) -> node that runs it
+        self.fenced: set[tuple[int, int]] = set()
         self.ended: set[tuple[int, int]] = set()
-        self.silent_until = {name: 0 for name in "abcd"}
+        self.silent_until_ns = {name: 0 for name in "abcd"}
         self.answers: dict[int, list[t.Answer]] = {}
-        self.losses: dict[int, int] = {}  # how many runs of a job went with their node
+        self.losses: dict[int, int] = {}  # runs of a job that were lost in a restart
         self.finished: dict[int, int] = {}
-        self.asks: dict[int, int] = {}
+        self.requests: dict[int, int] = {}
         self.runs: dict[int, int] = {}
-        self.taken: dict[int, int] = {}
-        self.wakes: dict[int, int] = {}
+        self.submitted_ns: dict[int, int] = {}
+        self.timers: dict[int, int] = {}
 
     def later(self, span: int, call: Callable[[], None]) -> None:
         self._count += 1
@@ -176,39 +175,41 @@
 
     def tell(self, event: t.Event) -> None:
         for action in self.owner.handle(self.now, event):
-            self.do(action)
+            self.execute(action)
 
     def run(self, span: int) -> None:
         end = self.now + span
         while self._queue and self._queue[0][0] <= end:
             self.steps += 1
-            assert self.steps < 100_000, "the same moment goes on for ever"
+            assert self.steps < 100_000, "events recur without end at one time"
             self.now, _, call = heapq.heappop(self._queue)
             call()
         self.now = end
 
-    # --- what the owner wants ---------------------------------------------------------------------------
+    # --- actions of the owner ---------------------------------------------------------------------------
 
-    def do(self, action: t.Action) -> None:
+    def execute(self, action: t.Action) -> None:
         match action:
-            case t.RequestPlacement(job, ask, budget, _):
-                self.asks[job] = ask
+            case t.RequestPlacement(job, request, budget, _):
+                self.requests[job] = request
                 assert budget <= 3 * S
-                self.later(MS, lambda: self.offer(job, ask, self.now + budget, 0))
-            case t.Withdraw(job, ask):
-                if self.asks.get(job) == ask:
-                    self.asks[job] = -1
-            case t.Adopt(job, ask, _, _):
-                self.asks[job] = ask
+                self.later(MS, lambda: self.offer(job, request, self.now + budget, 0))
+            case t.Withdraw(job, request):
+                if self.requests.get(job) == request:
+                    self.requests[job] = -1
+            case t.Adopt(job, request, _, _):
+                self.requests[job] = request
             case t.Query(job, run, machine) | t.Stop(job, run, machine):
                 stop = isinstance(action, t.Stop)
-                self.later(self.chance.randrange(1, 50) * MS, lambda: self.word(job, run, machine, stop))
+                self.later(self.rng.randrange(1, 50) * MS, lambda: self.reply(job, run, machine, stop))
             case t.ReportAnswer(job, answer, _):
-                told = self.answers.setdefault(job, [])
-                told.append(answer)
-                # A placing that was lost is followed by one that is owed an answer of its own.
-                assert len(told) <= 1 + self.losses.get(job, 0), f"job {job} answered {told}"
-                assert self.losses.get(job) or self.now <= self.taken[job] + LIMIT, f"job {job} answered late"
+                answers = self.answers.setdefault(job, [])
+                answers.append(answer)
+                # A placement that was lost is followed by one with an answer of its own.
+                assert len(answers) <= 1 + self.losses.get(job, 0), f"job {job} answered {answers}"
+                assert (
+                    self.losses.get(job) or self.now <= self.submitted_ns[job] + LIMIT
+                ), f"job {job} answered late"
                 if answer is t.Answer.REFUSED and self.queues[job] == UNSAFE:
                     assert not self.copies(job), f"job {job} refused while it runs"
             case t.Finish(job, _, _):
@@ -216,11 +217,11 @@
                 assert job not in self.finished
                 self.finished[job] = self.now
             case t.SetTimer(job, at):
-                self.wakes[job] = at
-                self.later(max(0, at - self.now), lambda: self.due(job, at))
+                self.timers[job] = at
+                self.later(max(0, at - self.now), lambda: self.fire_timer(job, at))
 
-    def due(self, job: int, at: int) -> None:
-        if self.wakes.get(job) == at:
+    def fire_timer(self, job: int, at: int) -> None:
+        if self.timers.get(job) == at:
             self.tell(t.TimerFired(job))
 
     def copies(self, job: int) -> list[tuple[int, int]]:
@@ -228,70 +229,70 @@
 
     # --- the module and the nodes -----------------------------------------------------------------------
 
-    def offer(self, job: int, ask: int, until: int, tries: int) -> None:
-        if self.asks.get(job) != ask:
+    def offer(self, job: int, request: int, until: int, tries: int) -> None:
+        if self.requests.get(job) != request:
             return
         if tries == 3 or self.now >= until - 40 * MS:
-            self.tell(t.PlacementRejected(job, ask))
+            self.tell(t.PlacementRejected(job, request))
             return
         run = self.runs[job] = self.runs.get(job, 0) + 1
-        node = self.chance.choice("abcd")
+        node = self.rng.choice("abcd")
         if self.queues[job] == UNSAFE:
             assert not self.copies(job), f"unsafe job {job} offered while it runs"
-        self.tell(t.Sent(job, ask, run, node))
-        fate = self.chance.random()
-        span = self.chance.randrange(1, 400) * MS
+        self.tell(t.Sent(job, request, run, node))
+        draw = self.rng.random()
+        span = self.rng.randrange(1, 400) * MS
 
-        def over(event: t.Event, doubtful: bool) -> None:
+        def conclude(event: t.Event, in_doubt: bool) -> None:
             self.tell(event)
-            if doubtful and self.queues[job] == UNSAFE:
-                if self.asks.get(job) == ask:
-                    self.tell(t.PlacementRejected(job, ask, failed=True))
+            if in_doubt and self.queues[job] == UNSAFE:
+                if self.requests.get(job) == request:
+                    self.tell(t.PlacementRejected(job, request, failed=True))
             elif not isinstance(event, t.Accepted):
-                self.offer(job, ask, until, tries + 1)
+                self.offer(job, request, until, tries + 1)
 
-        if fate < 0.3:
-            self.later(span, lambda: over(t.NeverRan(job, run, f"{node}: no room"), False))
-        elif fate < 0.7:
+        if draw < 0.3:
+            self.later(span, lambda: conclude(t.NeverRan(job, run, f"{node}: no room"), False))
+        elif draw < 0.7:
             self.later(span, lambda: self.commit(job, run, node))
-            self.later(span + MS, lambda: over(self.outcome(job, run), False))
-        elif fate < 0.9:  # committed, and the answer is lost
+            self.later(span + MS, lambda: conclude(self.outcome(job, run), False))
+        elif draw < 0.9:  # committed, and the answer is lost
             self.later(span, lambda: self.commit(job, run, node))
-            self.later(span + 900 * MS, lambda: over(t.InDoubt(job, run, f"{node}: lost"), True))
-        else:  # the commit itself is lost, or crawls in much later
-            crawl = span + self.chance.randrange(1, 3000) * MS
-            self.later(crawl, lambda: self.commit(job, run, node))
-            self.later(span, lambda: over(t.InDoubt(job, run, f"{node}: lost"), True))
+            self.later(span + 900 * MS, lambda: conclude(t.InDoubt(job, run, f"{node}: lost"), True))
+        else:  # the commit is late; its run may have been fenced by then
+            late = span + self.rng.randrange(1, 3000) * MS
+            self.later(late, lambda: self.commit(job, run, node))
+            self.later(span, lambda: conclude(t.InDoubt(job, run, f"{node}: lost"), True))
 
     def outcome(self, job: int, run: int) -> t.Event:
         return t.Accepted(job, run) if (job, run) in self.alive else t.NeverRan(job, run, "called off")
 
     def commit(self, job: int, run: int, node: str) -> None:
         key = (job, run)
-        if key in self.barred or key in self.ended:
+        if key in self.fenced or key in self.ended:
             return
         if self.queues[job] == UNSAFE:
             assert not self.copies(job), f"unsafe job {job} runs twice"
         self.alive[key] = node
-        life = self.chance.randrange(1, 12) * S
+        life = self.rng.randrange(1, 12) * S
         self.later(life, lambda: self.end(key, t.End.DONE))
 
     def end(self, key: tuple[int, int], end: t.End) -> None:
         if key in self.alive:
             node = self.alive.pop(key)
             self.ended.add(key)
-            self.obituary(key, node, end)
+            self.report_end(key, node, end)
 
-    def obituary(self, key: tuple[int, int], node: str, end: t.End) -> None:
-        """Sent again until it arrives."""
-        if self.now < self.silent_until[node]:
-            self.later(300 * MS, lambda: self.obituary(key, node, end))
+    def report_end(self, key: tuple[int, int], node: str, end: t.End) -> None:
+        """Report the end to the owner; repeated while the node is silent."""
+        if self.now < self.silent_until_ns[node]:
+            self.later(300 * MS, lambda: self.report_end(key, node, end))
         else:
             self.tell(t.Ended(*key, end))
 
-    def word(self, job: int, run: int, node: str, stop: bool) -> None:
+    def reply(self, job: int, run: int, node: str, stop: bool) -> None:
         key = (job, run)
-        if self.now < self.silent_until[node] or self.chance.random() < 0.2:
+        if self.now < self.silent_until_ns[node] or self.rng.random() < 0.2:
             self.tell(t.MachineReplied(job, run, t.RunStatus.SILENT))
         elif key in self.alive:
             if stop:
@@ -300,17 +301,17 @@
         elif key in self.ended:
             self.tell(t.MachineReplied(job, run, t.RunStatus.ENDED))
         else:
-            self.barred.add(key)
+            self.fenced.add(key)
             self.tell(t.MachineReplied(job, run, t.RunStatus.NEVER))
 
-    # --- what happens to it -----------------------------------------------------------------------------
+    # --- jobs and faults --------------------------------------------------------------------------------
 
     def submit(self, job: int, queue: int) -> None:
-        self.queues[job], self.taken[job] = queue, self.now
+        self.queues[job], self.submitted_ns[job] = queue, self.now
         self.tell(t.Submitted(job, queue))
 
     def silence(self, node: str, span: int) -> None:
-        self.silent_until[node] = self.now + span
+        self.silent_until_ns[node] = self.now + span
 
     def restart(self, node: str) -> None:
         for key in [key for key, at in self.alive.items() if at == node]:
@@ -324,16 +325,16 @@
     sim = Sim(seed)
     for job in range(1, 61):
         queue = SAFE if job % 2 else UNSAFE
-        sim.later(sim.chance.randrange(0, 20 * S), partial(sim.submit, job, queue))
-        if sim.chance.random() < 0.3:
-            at = sim.chance.randrange(0, 30 * S)
+        sim.later(sim.rng.randrange(0, 20 * S), partial(sim.submit, job, queue))
+        if sim.rng.random() < 0.3:
+            at = sim.rng.randrange(0, 30 * S)
             sim.later(at, partial(sim.tell, t.Cancelled(job)))
     for _ in range(6):
-        node, at = sim.chance.choice("abcd"), sim.chance.randrange(0, 40 * S)
-        span = sim.chance.randrange(S, 15 * S)
+        node, at = sim.rng.choice("abcd"), sim.rng.randrange(0, 40 * S)
+        span = sim.rng.randrange(S, 15 * S)
         sim.later(at, partial(sim.silence, node, span))
     sim.run(60 * S)
-    sim.run(200 * S)  # no more faults: everything comes to rest
+    sim.run(200 * S)  # no more faults: all jobs finish
     assert set(sim.finished) == set(sim.queues)
     assert not sim.alive and sim.owner.count_orphans() == 0
 
@@ -343,9 +344,9 @@
     sim = Sim(1000 + seed)
     for job in range(1, 41):
         queue = SAFE if job % 2 else UNSAFE
-        sim.later(sim.chance.randrange(0, 10 * S), partial(sim.submit, job, queue))
+        sim.later(sim.rng.randrange(0, 10 * S), partial(sim.submit, job, queue))
     for at in range(3, 15, 3):
-        sim.later(at * S, lambda: sim.restart(sim.chance.choice("abcd")))
+        sim.later(at * S, lambda: sim.restart(sim.rng.choice("abcd")))
     sim.run(250 * S)
     assert set(sim.finished) == set(sim.queues) and sim.losses
     assert not sim.alive and sim.owner.count_orphans() == 0
--- a/tests/test_owner_changes.py
+++ b/tests/test_owner_changes.py
@@ -1,4 +1,4 @@
-"""Queue rules that change under jobs, and asks that pause: what was promised to a job stays."""
+"""Queue rules that change while jobs wait, and paused requests: a job keeps the rules it was promised."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from ladderhub.owner import Owner
 from ladderhub.owner import types as t
 from ladderhub.rollout import types as rollout
-from tests.test_owner import LIMIT, MS, SAFE, UNSAFE, S, asked, only, settings
+from tests.test_owner import LIMIT, MS, SAFE, UNSAFE, S, only, owner_with_request, settings
 from tests.rollout.world import World
 
 LATER = 60 * S
@@ -24,7 +24,7 @@
 
 
 def test_a_job_that_waits_keeps_its_limit_and_asks_and_a_new_one_has_the_new_rules() -> None:
-    owner = asked(SAFE)
+    owner = owner_with_request(SAFE)
     owner.handle(S, changed(SAFE, limit_ns=2 * S, request_limit_ns=S, max_requests=1))
     owner.handle(S, t.PlacementRejected(1, 1))
     (again,) = only(owner.handle(5 * S, t.TimerFired(1)), t.RequestPlacement)
@@ -37,7 +37,7 @@
 
 
 def test_the_next_placing_of_a_job_has_the_new_limit_and_its_old_effect() -> None:
-    owner = asked(UNSAFE)
+    owner = owner_with_request(UNSAFE)
     owner.handle(0, t.Sent(1, 1, 1, "a"))
     owner.handle(S, t.Accepted(1, 1))
     owner.handle(2 * S, changed(UNSAFE, limit_ns=LATER, effect=Effect.SAFE))
@@ -47,13 +47,13 @@
     owner.handle(4 * S, t.Sent(1, again.request_id, 2, "b"))
     owner.handle(5 * S, t.InDoubt(1, 2, "b: lost"))
     owner.handle(5 * S, t.PlacementRejected(1, again.request_id, failed=True))
-    assert owner.get_state(1)[0] == "doubt"  # as unsafe work is, whatever its queue says by now
+    assert owner.get_state(1)[0] == "doubt"  # still handled as unsafe, although its queue is safe now
     assert not only(owner.handle(LIMIT + 2 * S, t.TimerFired(1)), t.ReportAnswer)
     assert only(owner.handle(3 * S + LATER, t.TimerFired(1)), t.ReportAnswer)
 
 
 def test_a_new_queue_is_served_and_a_job_may_be_taken_by_another_effect_than_its_queue() -> None:
-    owner = asked(SAFE)
+    owner = owner_with_request(SAFE)
     more = (*settings().queues, t.QueueRules(Effect.KEYED, LIMIT, 3 * S))
     owner.handle(S, t.SettingsChanged(replace(settings(), queues=more)))
     assert only(owner.handle(S, t.Submitted(2, 2)), t.RequestPlacement)[0].effect is None
@@ -64,7 +64,7 @@
 
 
 def test_asks_that_pause_begin_when_they_resume_and_limits_run_on() -> None:
-    owner = asked(SAFE)
+    owner = owner_with_request(SAFE)
     owner.handle(0, t.RequestsPaused("catching up"))
     assert not only(
         owner.handle(0, t.Submitted(2, SAFE)) + owner.handle(0, t.Submitted(3, UNSAFE)), t.RequestPlacement
@@ -84,24 +84,24 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_every_job_has_one_answer_in_its_own_time_while_rules_change(seed: int) -> None:
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     owner = Owner(settings(), seed)
     limits: dict[int, int] = {}
     answered: dict[int, int] = {}
-    out: set[int] = set()
+    requested: set[int] = set()
     rules = {SAFE: LIMIT, UNSAFE: LIMIT}
     now = 0
     for job in range(1, 200):
-        now += chance.randrange(300) * MS
-        queue = chance.choice((SAFE, UNSAFE))
+        now += rng.randrange(300) * MS
+        queue = rng.choice((SAFE, UNSAFE))
         events: list[t.Event] = [t.Submitted(job, queue)]
         limits[job] = now + rules[queue]
-        if chance.random() < 0.3:
-            rules[queue] = chance.randrange(2, 30) * S
-            events.append(changed(queue, limit_ns=rules[queue], max_requests=chance.randrange(1, 9)))
+        if rng.random() < 0.3:
+            rules[queue] = rng.randrange(2, 30) * S
+            events.append(changed(queue, limit_ns=rules[queue], max_requests=rng.randrange(1, 9)))
             rules[1 - queue] = LIMIT
-        events.append(chance.choice((t.RequestsPaused("held"), t.RequestsResumed(), t.RequestsResumed())))
-        events += [t.PlacementRejected(other, 1) for other in sorted(out) if chance.random() < 0.3]
+        events.append(rng.choice((t.RequestsPaused("held"), t.RequestsResumed(), t.RequestsResumed())))
+        events += [t.PlacementRejected(other, 1) for other in sorted(requested) if rng.random() < 0.3]
         events += [t.TimerFired(other) for other in sorted(limits) if other not in answered]
         for event in events:
             for action in owner.handle(now, event):
@@ -109,7 +109,7 @@
                     assert action.job not in answered
                     answered[action.job] = now
                 elif isinstance(action, t.RequestPlacement):
-                    out.add(action.job)
+                    requested.add(action.job)
                     assert now + action.budget_ns <= limits[action.job]
     for job in [job for job in limits if job not in answered]:
         owner.handle(limits[job], t.TimerFired(job))
