--- a/ladderhub/lab/scale/hollow_schedulers.py
+++ b/ladderhub/lab/scale/hollow_schedulers.py
@@ -98,7 +98,7 @@
     def store(self, record: Record) -> None:
         """Nothing: a hollow scheduler has one life."""
 
-    def check(self, body: bytes) -> str | None:
+    def check_body(self, body: bytes) -> str | None:
         return None
 
     def activate(self, revision: Revision) -> None:
@@ -113,7 +113,7 @@
     def resume(self) -> None:
         """Nothing: it has no jobs."""
 
-    def tell(self, notice: Notice, text: str) -> None:
+    def notify(self, notice: Notice, text: str) -> None:
         """Nothing: it has no log."""
 
 
@@ -214,7 +214,7 @@
             count=len(self.members),
             seconds=(now - self._begun_ns) / 1e9,
             members_seen=MembersSeen(min(seen), sum(seen) / len(seen), max(seen)),
-            leases_held=sum(len(member.leases.held(now)) for member in self.members),
+            leases_held=sum(len(member.leases.get_held_slots(now)) for member in self.members),
             revision_least=min((member.follower.active for member in self.members), default=0),
             datagrams_unsent=sum(member.carrier.datagrams.unsent for member in self.members),
             troubles=sum(member.troubles for member in self.members),
