--- a/ladderhub/dispatcher.py
+++ b/ladderhub/dispatcher.py
@@ -1,7 +1,7 @@
 """One queue for the events of all decision modules of a daemon.
 
-What one module's action causes in another is handled after the actions that came before it, whichever room it
-comes from.  Nothing here knows what is decided.
+Events are handled one at a time, in the order in which they were told.  An event that is told while actions
+are executed waits until these and all earlier events are done, whichever part of the daemon tells it.
 """
 
 from __future__ import annotations
@@ -14,48 +14,50 @@
 
 
 class Decider(Protocol):
-    """A pure module: events and time in, actions out."""
+    """A pure decision module: takes events and the time, returns actions."""
 
     def handle(self, now_ns: int, event: Any, /) -> Sequence[Any]: ...
 
 
 class ActionExecutor(Protocol):
-    """Carries out what one decider says, action by action, in order."""
+    """Executes the actions of one decider in order."""
 
     def execute(self, now_ns: int, action: Any, /) -> None: ...
 
     def on_handled(self, event: Any, /) -> None:
-        """All that this event called for has been handed on."""
+        """Called after all actions for this event were executed."""
 
 
 @dataclass(frozen=True, slots=True)
 class DeferredEvent:
-    """An event with a span that counts from the moment in which it is handled; `make` is given that moment.
+    """An event whose durations count from the time at which it is handled; `make` is called with that time.
 
-    Danger: between two looks at the clock the process may stand still, and the decider would take a span
-    measured at the first for one that begins at the second."""
+    The process may be suspended between two readings of the clock.  The decider would then treat a duration
+    measured at the first reading as one that begins at the second."""
 
     make: Callable[[int], Any]
 
 
 class EventDispatcher:
-    """Deciders and their carriers.  `register` gives the call by which a decider hears of an event."""
+    """Passes events to deciders and their actions to executors."""
 
     def __init__(self, now_ns: Callable[[], int], on_fault: Callable[[Any, Exception], None]) -> None:
         self._now_ns, self._on_fault = now_ns, on_fault
         self._events: deque[tuple[Decider, ActionExecutor, Any]] = deque()
         self._busy = False
 
-    def register(self, decider: Decider, carrier: ActionExecutor) -> Callable[[Any], None]:
+    def register(self, decider: Decider, executor: ActionExecutor) -> Callable[[Any], None]:
+        """Return a function that tells the decider of an event."""
+
         def tell(event: Any) -> None:
-            self._events.append((decider, carrier, event))
+            self._events.append((decider, executor, event))
             self._drain()
 
         return tell
 
     @contextmanager
     def batch(self) -> Iterator[None]:
-        """Events told within it stand side by side in the queue: nothing is heard between them."""
+        """Queue all events told inside the context consecutively; none is handled before it ends."""
         was_busy, self._busy = self._busy, True
         try:
             yield
@@ -69,17 +71,17 @@
         self._busy = True
         try:
             while self._events:
-                decider, carrier, event = self._events.popleft()
+                decider, executor, event = self._events.popleft()
                 try:
                     now = self._now_ns()
                     if isinstance(event, DeferredEvent):
                         event = event.make(now)
                     for action in decider.handle(now, event):
-                        carrier.execute(now, action)
-                    carrier.on_handled(event)
+                        executor.execute(now, action)
+                    executor.on_handled(event)
                 except Exception as fault:
-                    # One event's fault must not keep the others from being heard; a job that it leaves
-                    # without an answer gets one at its limit.
+                    # An exception for one event must not stop the others.  A job that stays without an
+                    # answer because of it gets one at its deadline.
                     self._on_fault(event, fault)
         finally:
             self._busy = False
--- a/ladderhub/errors/__init__.py
+++ b/ladderhub/errors/__init__.py
@@ -1,9 +1,10 @@
-"""The base of all errors of ladderhub.  Must import nothing else of it: every package may use this one.
+"""The base class of all errors of ladderhub.
 
-An error says what is wrong, where (a file, a field, a line, a peer), what was meant; its type says what an
-operator can do about it, with one exit status and one reply code of the batch protocol a type.  Errors are
-for what somebody can mend: spoilt input off the wire is counted by `errors.tally` and told once a second.
-The base is light, since `qsub` loads it: no `typing`, no `dataclasses`.
+Every package may import this one, so it must import nothing else of ladderhub.  An error says what is wrong,
+where (a file, a field, a line, a peer) and what was expected.  Its type says what an operator can do about it
+and has one exit status and one reply code of the batch protocol.  Errors are for what somebody can fix:
+malformed input from the network is counted by `errors.tally` instead and reported once a second.  The base
+class must import neither `typing` nor `dataclasses`, because every start of `qsub` loads it.
 """
 
 from ladderhub.errors.base import LadderhubError, iter_error_types
--- a/ladderhub/errors/base.py
+++ b/ladderhub/errors/base.py
@@ -1,17 +1,19 @@
-"""The base type, and the walk over all types."""
+"""The base class of all errors, and an iterator over its subclasses."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 
-# Exit statuses, the same for all commands: 1 usage or trouble here, 2 what was given is refused, 3 no server.
+# Exit statuses of all commands: 1 wrong usage or a local error, 2 the input was refused, 3 no server.
 EXIT_ERROR, EXIT_REFUSED, EXIT_NO_SERVER = 1, 2, 3
-# Reply codes of the batch protocol (pbs_error.h); `pbs.names` has them all, this package imports nothing.
+# Reply codes of the batch protocol (pbs_error.h).  `pbs.names` has all of them but can't be imported here.
 SYSTEM, INTERNAL, BAD_VALUE, PROTOCOL = 15010, 15011, 15014, 15033
 
 
 class LadderhubError(Exception):
-    """What is wrong.  Each type states `remedy` (what an operator can do), `status` and `code`."""
+    """Base class of the errors: what is wrong, where, and what was expected instead.
+
+    Each subclass defines `remedy` (what an operator can do), `status` (on exit) and `code` (in replies)."""
 
     remedy: str = ""
     status: int = EXIT_ERROR
@@ -27,7 +29,7 @@
 
 
 def iter_error_types(base: type[LadderhubError] = LadderhubError) -> Iterator[type[LadderhubError]]:
-    """Every type below `base` in the modules loaded so far, each once."""
+    """Yield every subclass of `base` in the modules loaded so far, each once."""
     for each in base.__subclasses__():
         yield each
         yield from iter_error_types(each)
--- a/ladderhub/errors/tally.py
+++ b/ladderhub/errors/tally.py
@@ -1,18 +1,18 @@
-"""Counts of what came spoilt, by kind and peer, in bounded memory, told once a second."""
+"""Counts of malformed input by kind and peer, in bounded memory, reported once a second."""
 
 from __future__ import annotations
 
 from collections import Counter
 from dataclasses import dataclass
 
-TOLD_NS = 1_000_000_000
-PEERS_MOST = 64  # peers of one kind told by name in a second; the rest are counted together
-KINDS_MOST = 32
+REPORT_INTERVAL_NS = 1_000_000_000
+MAX_PEERS_PER_KIND = 64  # reported by name each second; the rest are counted together
+MAX_KINDS = 32
 
 
 @dataclass(frozen=True, slots=True)
 class MalformedInputCount:
-    """What is told: so many of a kind from a peer since the last time.  Peer «others»: there were many."""
+    """How many inputs of a kind came from a peer since the last report; "others" sums further peers."""
 
     kind: str
     peer: str
@@ -20,27 +20,32 @@
 
 
 class MalformedInputTally:
-    """Hostile senders choose what is counted, so neither kinds nor peers may grow this without end."""
+    """Counts malformed input.
+
+    Hostile senders choose kinds and peers, so the number of counters of both is limited."""
 
     def __init__(self) -> None:
         self.total: Counter[str] = Counter()  # by kind, since the start
-        self._fresh: dict[str, Counter[str]] = {}
-        self._told_ns: int | None = None
+        self._unreported: dict[str, Counter[str]] = {}
+        self._last_report_ns: int | None = None
 
     def count(self, kind: str, peer: str) -> None:
-        if kind not in self.total and len(self.total) >= KINDS_MOST:
+        """Count one malformed input."""
+        if kind not in self.total and len(self.total) >= MAX_KINDS:
             kind = "others"
         self.total[kind] += 1
-        peers = self._fresh.setdefault(kind, Counter())
-        peers[peer if peer in peers or len(peers) < PEERS_MOST else "others"] += 1
+        peers = self._unreported.setdefault(kind, Counter())
+        peers[peer if peer in peers or len(peers) < MAX_PEERS_PER_KIND else "others"] += 1
 
     def take_due(self, now_ns: int) -> list[MalformedInputCount]:
-        """What came since the last time, at most once a second."""
-        if not self._fresh or (self._told_ns is not None and now_ns - self._told_ns < TOLD_NS):
+        """Return and reset the counts since the last report, at most once a second; else an empty list."""
+        if not self._unreported or (
+            self._last_report_ns is not None and now_ns - self._last_report_ns < REPORT_INTERVAL_NS
+        ):
             return []
-        self._told_ns = now_ns
-        fresh, self._fresh = self._fresh, {}
+        self._last_report_ns = now_ns
+        unreported, self._unreported = self._unreported, {}
         return [
-            MalformedInputCount(kind, peer, count) for kind, peers in sorted(fresh.items())
+            MalformedInputCount(kind, peer, count) for kind, peers in sorted(unreported.items())
             for peer, count in sorted(peers.items())
         ]  # fmt: skip
--- a/ladderhub/usage/accounted.py
+++ b/ladderhub/usage/accounted.py
@@ -1,4 +1,4 @@
-"""The event loop and its streams, with accounts: who uses these is counted, the plain ones have no hooks."""
+"""Versions of the event loop and its streams that count processor time and traffic; the plain ones don't."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from ladderhub.usage.traffic import TrafficCount
 
 
-class _Attributed:
-    """A callback of a descriptor with the cause that its time is put down to."""
+class _AttributedCallback:
+    """A descriptor's callback and the cause that its time is counted for."""
 
     __slots__ = ("call", "cause", "processor")
 
@@ -22,32 +22,33 @@
         self.processor, self.cause, self.call = processor, cause, call
 
     def __call__(self, events: int) -> None:
-        before = self.processor.switch(self.cause)
+        previous = self.processor.switch(self.cause)
         try:
             self.call(events)
         finally:
-            self.processor.switch(before)
+            self.processor.switch(previous)
 
 
 class AccountedLoop(Loop):
-    """A loop that puts the time of each callback down to a cause: the one that was being served when the
-    timer was set or the descriptor first watched, as a context is inherited."""
+    """A loop that counts the time of each callback for a cause.
+
+    The cause is inherited: it is the current one when the timer is set or the descriptor first watched."""
 
     def __init__(self, processor: ProcessorTime, trouble: Trouble | None = None) -> None:
         super().__init__(trouble=trouble)
         self.processor = processor
-        self._attributed: dict[int, _Attributed] = {}
+        self._callbacks: dict[int, _AttributedCallback] = {}
 
     def watch(self, fd: int, events: int, call: Callable[[int], object], first: bool = False) -> None:
         if not events:
-            self._attributed.pop(fd, None)
+            self._callbacks.pop(fd, None)
             super().watch(fd, events, call, first)
             return
-        known = self._attributed.get(fd)
-        if known is None or known.call != call:
-            cause = self.processor.cause if known is None else known.cause
-            known = self._attributed[fd] = _Attributed(self.processor, cause, call)
-        super().watch(fd, events, known, first)
+        callback = self._callbacks.get(fd)
+        if callback is None or callback.call != call:
+            cause = self.processor.cause if callback is None else callback.cause
+            callback = self._callbacks[fd] = _AttributedCallback(self.processor, cause, call)
+        super().watch(fd, events, callback, first)
 
     def call_at(self, at_ns: int, call: Callable[..., object], *args: Any) -> Timer:
         return super().call_at(at_ns, self._run, self.processor.cause, call, args)
@@ -56,23 +57,23 @@
         super().call_soon(self._run, self.processor.cause, call, args)
 
     def _run(self, cause: Cause, call: Callable[..., object], args: tuple[Any, ...]) -> None:
-        before = self.processor.switch(cause)
+        previous = self.processor.switch(cause)
         try:
             call(*args)
         finally:
-            self.processor.switch(before)
+            self.processor.switch(previous)
 
 
 def processor_of(loop: Loop) -> ProcessorTime:
-    """The account that the loop keeps; on a plain loop one for the sections that are entered by hand."""
+    """Return the loop's `ProcessorTime`; for a plain loop a new one, which counts explicit sections only."""
     return loop.processor if isinstance(loop, AccountedLoop) else ProcessorTime()
 
 
 class CountedStream(Stream):
-    """A stream whose bytes are counted; its user counts the messages.
+    """A stream that counts bytes; its user counts the messages.
 
-    Bytes read are counted after the handler had them: a handler that learns from the first ones what kind of
-    peer speaks may replace `count` then."""
+    Received bytes are counted after the handler has processed them.  So a handler that recognises the kind of
+    peer from the first bytes can still replace `count`."""
 
     def __init__(self, loop: Loop, sock: Any, handler: Handler, count: TrafficCount, **options: Any) -> None:
         self.count = count
@@ -84,9 +85,9 @@
         super().write(data)
 
     def _read(self) -> int:
-        taken = super()._read()
-        self.count.bytes_in += taken
-        return taken
+        received = super()._read()
+        self.count.bytes_in += received
+        return received
 
 
 def connect_counted(
@@ -97,6 +98,6 @@
     on_connected: Callable[[Stream], None],
     count: TrafficCount,
 ) -> CountedStream:
-    """Begin a connection as `loop.stream.connect` does, with its bytes counted."""
+    """Start a connection as `loop.stream.connect` does, with its bytes counted."""
     make = partial(CountedStream, count=count)
     return connect_as(make, loop, address, handler, timeout_ns, on_connected)
--- a/ladderhub/usage/processor.py
+++ b/ladderhub/usage/processor.py
@@ -1,4 +1,4 @@
-"""Processor time by cause: measured around entry points with the thread's processor clock, never sampled."""
+"""Processor time by cause: measured around entry points with the thread's processor clock, not sampled."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class Cause(StrEnum):
-    """What processor time is spent on."""
+    """The kind of work that processor time is spent on."""
 
     JOBS = "jobs"  # requests of clients, decisions on jobs, offers to nodes, answers
-    LISTS = "lists"  # what the directory tells
+    LISTS = "lists"  # node lists from the directory
     PEERS = "peers"  # membership and leases
     CONFIGURATION = "configuration"  # changes of settings
     LOG_METRICS = "log_metrics"
@@ -25,10 +25,10 @@
 
 
 class ProcessorTime:
-    """The account of one thread.
+    """Measures the processor time of one thread by cause.
 
-    Sections nest: while an inner one runs, its time is its own cause's and not the outer one's.  Entering a
-    section of the present cause costs no reading of the clock."""
+    Sections nest: the time of an inner section counts for its own cause and not for the outer one.  Entering
+    a section of the current cause doesn't read the clock."""
 
     def __init__(
         self,
@@ -41,24 +41,24 @@
         self.cause = Cause.OTHER
 
     def switch(self, cause: Cause) -> Cause:
-        """From here on time is this cause's; the one before, to be switched back to."""
-        before = self.cause
-        if cause is not before:
+        """Count time for this cause from now on; return the previous cause, to switch back to."""
+        previous = self.cause
+        if cause is not previous:
             now = self._thread_ns()
-            self._spent[before] += now - self._since_ns
+            self._spent[previous] += now - self._since_ns
             self._since_ns, self.cause = now, cause
-        return before
+        return previous
 
     def run(self, cause: Cause, call: Callable[P, R], /, *args: P.args, **options: P.kwargs) -> R:
-        """Call within a section of this cause."""
-        before = self.switch(cause)
+        """Call the function within a section of this cause."""
+        previous = self.switch(cause)
         try:
             return call(*args, **options)
         finally:
-            self.switch(before)
+            self.switch(previous)
 
     def bind(self, cause: Cause, call: Callable[P, R]) -> Callable[P, R]:
-        """The call, always within a section of this cause."""
+        """Return a function that makes the call within a section of this cause."""
 
         def bound_call(*args: P.args, **options: P.kwargs) -> R:
             return self.run(cause, call, *args, **options)
@@ -67,16 +67,17 @@
 
     @contextmanager
     def section(self, cause: Cause) -> Iterator[None]:
-        """What is done inside is of this cause."""
-        before = self.switch(cause)
+        """Count the time inside the context for this cause."""
+        previous = self.switch(cause)
         try:
             yield
         finally:
-            self.switch(before)
+            self.switch(previous)
 
     def seconds(self) -> dict[Cause, float]:
-        """By cause, up to now.  The sum is the processor time of the process: what no section measured is
-        other."""
+        """Return the seconds spent by cause up to now.
+
+        Their sum is the processor time of the process: time outside of all sections counts as OTHER."""
         now = self._thread_ns()
         self._spent[self.cause] += now - self._since_ns
         self._since_ns = now
--- a/ladderhub/usage/traffic.py
+++ b/ladderhub/usage/traffic.py
@@ -6,12 +6,12 @@
 from typing import TypedDict
 
 CLIENT, NODE, DIRECTORY, SCHEDULER = "client", "node", "directory", "scheduler"
-UNREADABLE = "unreadable"  # datagrams that were no message of the cluster
+UNREADABLE = "unreadable"  # datagrams that are not a message of the cluster
 _WORD_START = re.compile(r"(?<=[a-z0-9])(?=[A-Z])")
 
 
 class TrafficRow(TypedDict):
-    """The counts of one kind, as they are written to statistics files."""
+    """The counts of one kind of connection, as written to statistics files."""
 
     bytes_in: int
     bytes_out: int
@@ -20,8 +20,9 @@
 
 
 class TrafficCount:
-    """What passed over connections of one kind.  Bytes out count when written, whether or not the peer takes
-    them; bytes in when read."""
+    """Traffic of all connections of one kind.
+
+    Outgoing bytes are counted when written, whether or not the peer reads them, incoming ones when read."""
 
     __slots__ = ("bytes_in", "bytes_out", "messages_in", "messages_out")
 
@@ -29,6 +30,7 @@
         self.bytes_in = self.bytes_out = self.messages_in = self.messages_out = 0
 
     def to_row(self) -> TrafficRow:
+        """Return the counts for a statistics file."""
         return TrafficRow(
             bytes_in=self.bytes_in,
             bytes_out=self.bytes_out,
@@ -38,29 +40,28 @@
 
 
 class Traffic:
-    """The counts of one process, by kind."""
+    """Traffic of one process by kind of connection or message."""
 
     def __init__(self) -> None:
         self.kinds: dict[str, TrafficCount] = {}
         self._message_kinds: dict[type, TrafficCount] = {}
 
     def of(self, kind: str) -> TrafficCount:
-        """The count of this kind, made where it is new."""
+        """Return the count of this kind; a new kind starts at zero."""
         return self.kinds.setdefault(kind, TrafficCount())
 
     def of_message(self, message: object) -> TrafficCount:
-        """The count of this type of message: its kind is the name of the class, in lower case with
-        underscores."""
+        """Return the count of this message's type; see `kind_of`."""
         count = self._message_kinds.get(type(message))
         if count is None:
             count = self._message_kinds[type(message)] = self.of(kind_of(type(message)))
         return count
 
     def to_rows(self) -> dict[str, TrafficRow]:
-        """All counts, for a statistics file."""
+        """Return all counts for a statistics file."""
         return {kind: count.to_row() for kind, count in sorted(self.kinds.items())}
 
 
 def kind_of(message_type: type) -> str:
-    """`ping` for the class Ping, `lease_request` for LeaseRequest."""
+    """Return the class name in snake case: `ping` for Ping, `lease_request` for LeaseRequest."""
     return _WORD_START.sub("_", message_type.__name__).lower()
--- a/tests/errors/test_errors.py
+++ b/tests/errors/test_errors.py
@@ -1,4 +1,4 @@
-"""Errors have one base, say what can be done and are listed for operators; spoilt input is only counted."""
+"""Errors have one base class, state a remedy and are listed for operators; malformed input is counted."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def test_no_error_of_the_project_stands_outside_the_base() -> None:
-    # Control flow and programming faults may use what Python has; a type of ours may not be born there.
+    # Built-in exceptions may be raised for control flow and programming errors, but not subclassed.
     for module in pkgutil.walk_packages(ladderhub.__path__, "ladderhub."):
         if module.name.endswith("__main__"):
             continue
@@ -40,14 +40,14 @@
                 assert issubclass(each, LadderhubError | EOFError), each
 
 
-def test_an_error_tells_where_what_and_what_was_meant() -> None:
+def test_an_error_tells_where_what_and_what_was_expected() -> None:
     fault = SettingsError("found 3", where="fleet.jsonnet: spool", expected="a folder")
     assert str(fault) == "fleet.jsonnet: spool: found 3; a folder is meant"
     assert (fault.what, fault.where, fault.expected) == ("found 3", "fleet.jsonnet: spool", "a folder")
 
 
-def test_what_is_spoilt_is_told_once_a_second_in_bounded_memory() -> None:
-    # Guards against senders that choose kinds and addresses so that a count of them grows without end.
+def test_malformed_input_is_reported_once_a_second_in_bounded_memory() -> None:
+    # Guards against senders that choose kinds and addresses so that the counters grow without bound.
     tally = MalformedInputTally()
     for at in range(10_000):
         tally.count(f"kind-{at % 50}", f"10.0.{at // 256}.{at % 256}:{at}")
--- a/tests/usage/__init__.py
+++ b/tests/usage/__init__.py
@@ -1,4 +1,4 @@
-"""Tests of the accounts, and the bounded wait that they share."""
+"""Tests of the resource accounting, and the bounded wait that they share."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 
 def until(loop: Loop, done: Callable[[], object]) -> None:
-    """Turn the loop until `done`; AssertionError where it does not come about."""
+    """Run the loop until `done()`; AssertionError after 20 seconds."""
     end = loop.now_ns() + 20 * S
     while not done():
-        assert loop.now_ns() < end, "what the test waits for did not come about"
+        assert loop.now_ns() < end, "the awaited condition did not come true"
         loop.turn(MS)
--- a/tests/usage/test_log.py
+++ b/tests/usage/test_log.py
@@ -1,4 +1,4 @@
-"""The log on the account of its own cause: rows come out as they are given."""
+"""Log lines count for their own cause and keep their fields."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from ladderhub.lab.fleet import SETTINGS
 
 
-class Spent(ProcessorTime):
-    """An account that notes the causes it switched to."""
+class RecordingProcessorTime(ProcessorTime):
+    """Records the causes it switched to."""
 
     def __init__(self) -> None:
         self.switched: list[Cause] = []
@@ -38,12 +38,12 @@
 
 @pytest.mark.usefixtures("plain_log_afterwards")
 def test_rows_may_name_any_field_and_their_time_is_the_logs(capfdbinary: Any) -> None:
-    # Guards against fields of rows, as the cause of a change, that are taken for arguments of the account.
-    processor = Spent()
+    # Guards against fields of a log line (as `cause`) that are taken for arguments of ProcessorTime.run.
+    processor = RecordingProcessorTime()
     log = set_up_log("json", "info", processor)
     log.info("member", cause="heard", call="x", args=1, name="n", options=2)
     assert processor.switched == [Cause.LOG_METRICS, Cause.OTHER]
-    log.debug("too little to tell")
+    log.debug("below the level")
     assert len(processor.switched) == 2
     row = json.loads(capfdbinary.readouterr().err)
     fields = {
@@ -58,7 +58,7 @@
 
 @pytest.mark.usefixtures("plain_log_afterwards")
 def test_a_fault_in_a_decision_is_told_in_the_log_and_stops_nothing(tmp_path: Path, capfdbinary: Any) -> None:
-    # Guards against a row for such a fault that can't be made itself: it ended the turn of all decisions.
+    # Guards against an exception while this line is logged: it stopped the handling of all queued events.
     value = SETTINGS | {
         "server": "a", "listen": "127.0.0.1:1", "directory": "127.0.0.1:2", "spool": str(tmp_path),
     }  # fmt: skip
--- a/tests/usage/test_processor.py
+++ b/tests/usage/test_processor.py
@@ -1,4 +1,4 @@
-"""The account of processor time: sections nest, sums hold, and causes are inherited on the loop."""
+"""Processor time by cause: sections nest, sums are right, and the loop's callbacks inherit causes."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from tests.usage import until
 
 
-class Ticks:
-    """A processor clock that a test moves by hand; the process has spent a second before."""
+class ManualClock:
+    """A manual processor clock; the process has already spent one second."""
 
     def __init__(self) -> None:
         self.now = 0
@@ -24,42 +24,42 @@
     def spend(self, seconds: int) -> None:
         self.now += seconds * 1_000_000_000
 
-    def account(self) -> ProcessorTime:
+    def make_processor_time(self) -> ProcessorTime:
         return ProcessorTime(lambda: self.now, lambda: self.now + 1_000_000_000)
 
 
 def test_an_inner_section_is_taken_from_the_outer_one_and_the_sum_is_the_process() -> None:
-    ticks = Ticks()
-    account = ticks.account()
-    with account.section(Cause.JOBS):
-        ticks.spend(2)
-        with account.section(Cause.LOG_METRICS):
-            ticks.spend(3)
-            account.run(Cause.JOBS, ticks.spend, 4)
-        with account.section(Cause.JOBS):
-            ticks.spend(5)
-    ticks.spend(7)
-    seconds = account.seconds()
+    clock = ManualClock()
+    processor = clock.make_processor_time()
+    with processor.section(Cause.JOBS):
+        clock.spend(2)
+        with processor.section(Cause.LOG_METRICS):
+            clock.spend(3)
+            processor.run(Cause.JOBS, clock.spend, 4)
+        with processor.section(Cause.JOBS):
+            clock.spend(5)
+    clock.spend(7)
+    seconds = processor.seconds()
     assert seconds[Cause.JOBS] == 11 and seconds[Cause.LOG_METRICS] == 3
-    assert seconds[Cause.OTHER] == 8  # the second before the account began is among it
+    assert seconds[Cause.OTHER] == 8  # includes the second spent before
     assert sum(seconds.values()) == 22
 
 
-def test_a_section_that_fails_gives_way_to_the_one_around_it() -> None:
-    account = ProcessorTime()
-    with pytest.raises(ValueError), account.section(Cause.LISTS):
+def test_a_section_that_fails_restores_the_one_around_it() -> None:
+    processor = ProcessorTime()
+    with pytest.raises(ValueError), processor.section(Cause.LISTS):
         raise ValueError
-    assert account.cause is Cause.OTHER
+    assert processor.cause is Cause.OTHER
 
 
 def test_a_reading_inside_a_section_counts_what_it_has_spent_so_far() -> None:
-    ticks = Ticks()
-    account = ticks.account()
-    with account.section(Cause.LOG_METRICS):
-        ticks.spend(2)
-        assert account.seconds()[Cause.LOG_METRICS] == 2
-        ticks.spend(1)
-    assert account.seconds()[Cause.LOG_METRICS] == 3
+    clock = ManualClock()
+    processor = clock.make_processor_time()
+    with processor.section(Cause.LOG_METRICS):
+        clock.spend(2)
+        assert processor.seconds()[Cause.LOG_METRICS] == 2
+        clock.spend(1)
+    assert processor.seconds()[Cause.LOG_METRICS] == 3
 
 
 def test_no_reading_of_the_clock_within_one_cause() -> None:
@@ -69,11 +69,11 @@
         readings.append(0)
         return len(readings)
 
-    account = ProcessorTime(thread_ns, lambda: 0)
-    with account.section(Cause.JOBS):
+    processor = ProcessorTime(thread_ns, lambda: 0)
+    with processor.section(Cause.JOBS):
         before = len(readings)
-        with account.section(Cause.JOBS):
-            account.run(Cause.JOBS, lambda: None)
+        with processor.section(Cause.JOBS):
+            processor.run(Cause.JOBS, lambda: None)
         assert len(readings) == before
 
 
@@ -96,7 +96,7 @@
 
 
 def test_connections_inherit_the_cause_of_their_listener_and_keep_it() -> None:
-    # Guards against a stream that changes its account because others' work made it wait for the peer.
+    # Guards against a stream whose cause changes when other work writes to it and it waits for the peer.
     loop = AccountedLoop(ProcessorTime())
     seen: list[Cause] = []
     streams: list[Stream] = []
@@ -159,6 +159,8 @@
 
 
 def test_what_is_called_may_have_options_of_any_name() -> None:
-    # Guards against log lines with a field `cause`, which were lost with an error in place of them.
-    given: dict[str, str] = Ticks().account().run(Cause.LOG_METRICS, dict, cause="silent", call="again")
+    # Guards against log lines with a field `cause`: they were lost and an error was logged instead.
+    given: dict[str, str] = (
+        ManualClock().make_processor_time().run(Cause.LOG_METRICS, dict, cause="silent", call="again")
+    )
     assert given == {"cause": "silent", "call": "again"}
--- a/tests/usage/test_traffic.py
+++ b/tests/usage/test_traffic.py
@@ -32,7 +32,7 @@
 
 
 class Discard:
-    """Drops what comes."""
+    """Ignores all data."""
 
     def on_data(self, stream: Stream, data: bytes) -> None:
         return
@@ -97,7 +97,7 @@
     node, directory = ours.of("node"), world.directory.traffic
 
     def settled() -> bool:
-        """All that one end sent, the other has read."""
+        """Return whether each end has read all that the other sent."""
         pairs = (
             (node.messages_out, of_nodes("messages_in")),
             (node.bytes_out, of_nodes("bytes_in")),
@@ -111,7 +111,7 @@
         return all(sent == read > 0 for sent, read in pairs)
 
     world.until(settled)
-    # Each of five offers is Queue Job, Job Script and Commit; each node was asked once what it runs.
+    # Each of the five offers is Queue Job, Job Script and Commit; each node was asked once for its runs.
     assert node.messages_out == 5 * 3 + len(agents)
     assert ours.of("client").messages_in >= 5 * 3
     assert directory.of("scheduler").messages_in == ours.of("directory").messages_out == 1
