--- a/ladderhub/owner/decide.py
+++ b/ladderhub/owner/decide.py
@@ -33,7 +33,7 @@
 
 
 class Owner:
-    """Decides for all jobs of one scheduler.
+    """Acts for the owners of all jobs of one scheduler: places, stops and finishes their jobs.
 
     The caller passes events in order and carries out the returned actions in order."""
 
--- a/ladderhub/owner/types.py
+++ b/ladderhub/owner/types.py
@@ -210,7 +210,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cancelled:
-    """The owner cancelled the job."""
+    """The job is to be cancelled."""
 
     job: int
 
