--- a/ladderhub/membership/context.py
+++ b/ladderhub/membership/context.py
@@ -1,4 +1,4 @@
-"""State that the parts of one member share: its view, its pending probes, and the actions it has decided."""
+"""State shared by the parts of one member: its view, its pending probes, and the actions decided so far."""
 
 from __future__ import annotations
 
@@ -21,14 +21,15 @@
 )
 
 MAX_PENDING_PROBES = 512
-PROBE_TIMEOUT_PERIODS = 1.2  # longer than a message and its answer usually take
-_NUMBER_LIMIT = 1 << 30  # message numbers start again from 0 here
+PROBE_TIMEOUT_PERIODS = 1.2  # longer than the usual round trip
+_NUMBER_LIMIT = 1 << 30  # message numbers wrap around to 0 here
 
-ProbeCallback = Callable[[int, MessageReceived | None], None]  # time, and the ack or None for a time-out
+# Gets the time, and the ack or None after a timeout.
+ProbeCallback = Callable[[int, MessageReceived | None], None]
 
 
 class MemberContext:
-    """Shared state and the ways to send and report; decides nothing about any member."""
+    """Holds the shared state and offers sending and reporting.  Makes no decisions about members."""
 
     def __init__(self, settings: MemberSettings, seed: int) -> None:
         self.period = settings.period_ns
@@ -36,8 +37,8 @@
         self.self_entry = Entry(settings.name, settings.life, settings.address, 0, Status.ALIVE)
         self.self_id: MemberId = member_id(self.self_entry)
         self.random = random.Random(seed)
-        self.last_heard_ns: dict[MemberId, int] = {}  # by living member
-        self.joined = False  # whether anybody has answered us in this life
+        self.last_heard_ns: dict[MemberId, int] = {}  # by living member: when we last heard it
+        self.joined = False  # whether any member has answered us in this life
         self.actions: list[Action] = []
         self._number = 0
         self._pending_probes: dict[int, tuple[int, ProbeCallback]] = {}
@@ -50,7 +51,7 @@
     def report(self, change: Change, entry: Entry, cause: str) -> None:
         self.actions.append(MemberChanged(change, entry.name, entry.life, cause))
 
-    def next_number(self) -> int:
+    def take_next_number(self) -> int:
         self._number = (self._number + 1) % _NUMBER_LIMIT
         return self._number
 
@@ -63,27 +64,27 @@
     def address_of(self, member: MemberId) -> str:
         return self.table.entries[member].address
 
-    def heard_since(self, member: MemberId, moment: int) -> bool:
+    def has_heard_since(self, member: MemberId, moment: int) -> bool:
         return self.last_heard_ns.get(member, -1) >= moment
 
     def raise_incarnation(self, now: int, incarnation: int) -> None:
-        """Take a higher incarnation: it refutes what was reported of those before."""
+        """Take a higher incarnation, which refutes reports about earlier ones."""
         self.self_entry = replace(self.self_entry, incarnation=incarnation)
         self.table.put(now, self.self_entry)
 
-    def returning_entry(self) -> Entry:
-        """Our entry for those who may have us as gone."""
+    def build_returning_entry(self) -> Entry:
+        """Our entry for members that may consider us gone."""
         if self.self_entry.incarnation == 0:  # nobody has reported us gone in this life
             return self.self_entry
         return replace(self.self_entry, status=Status.RETURNING)
 
     def ping(self, address: str, include_self: bool = False, skip_gossip: bool = False) -> int:
-        """Send a ping and give its number.
+        """Send a ping and return its number.
 
-        `include_self`: our own entry goes along, since the receiver may not know us.  `skip_gossip`: perhaps
-        nobody is there, and gossip that reaches nobody would still count as sent."""
-        number = self.next_number()
-        first = self.returning_entry() if include_self else None
+        `include_self` adds our own entry, for receivers that may not know us.  `skip_gossip` is for addresses
+        that may not answer: gossip sent there would count as transmitted without reaching anyone."""
+        number = self.take_next_number()
+        first = self.build_returning_entry() if include_self else None
         if skip_gossip:
             gossip: tuple[Entry, ...] = (first,) if first else ()
         else:
@@ -99,24 +100,27 @@
         include_self: bool = False,
         skip_gossip: bool = False,
     ) -> None:
-        """Ping, and call back with the ack or, where none came in time, with None."""
+        """Ping the target; call `callback` with the ack, or with None after a timeout.
+
+        Does nothing while MAX_PENDING_PROBES are pending."""
         if len(self._pending_probes) < MAX_PENDING_PROBES:
             expires = now + round(PROBE_TIMEOUT_PERIODS * self.period)
             number = self.ping(target.address, include_self, skip_gossip)
             self._pending_probes[number] = (expires, callback)
 
     def complete_probe(self, now: int, number: int, ack: MessageReceived) -> None:
-        """An ack came; where no probe of that number is pending it is a sign of life and no more."""
+        """Pass an ack to the pending probe of that number; without one it is only a sign of life."""
         if number in self._pending_probes:
             _, callback = self._pending_probes.pop(number)
             callback(now, ack)
 
     def expire_probes(self, now: int) -> None:
+        """Call back with None for the probes that have timed out."""
         expired = [number for number, (expires, _) in self._pending_probes.items() if expires <= now]
         for number in expired:
             _, callback = self._pending_probes.pop(number)
             callback(now, None)
 
     def cancel_probes(self) -> None:
-        """After a pause of ours, probes sent before it prove nothing."""
+        """Drop the pending probes: after a pause of this process a missing ack proves nothing."""
         self._pending_probes.clear()
--- a/ladderhub/membership/leases.py
+++ b/ladderhub/membership/leases.py
@@ -1,12 +1,13 @@
-"""Who may use which slots of the cold budget: leases, granted by a majority of fixed voters.
+"""Leases for the slots of the cold budget, granted by a majority of fixed voters.
 
-The cold budget of a fresh node is dealt over a fixed number of slots.  A holder uses a slot only while a
-majority of voters has granted it, counted from the moment of its request, by its own clock (PaxosLease,
-Trencseni 2012).  A slot that comes to a new holder rests for a window first: what its last holder sent still
-counts at the nodes.
+The cold budget of a fresh node is divided among a fixed number of slots.  A holder uses a slot only while a
+majority of voters has granted it; the lease runs from the time of the request on the holder's own clock
+(PaxosLease, Trencseni 2012).  A slot that changes its holder is in quarantine first, because the offers of
+its last holder still count at the nodes for a cold window.
 
-Two majorities share a voter, so no slot has two users at any instant, whatever is lost, late, duplicated or
-paused; only the rates of clocks are trusted, to one part in twenty.  What is not granted in time is not used.
+Any two majorities share a voter, so no slot has two users at the same time, even if messages are lost, late
+or duplicated or processes pause.  The only assumption is that clock rates differ by less than one part in
+twenty.  A slot that is not granted in time is not used.
 """
 
 from __future__ import annotations
@@ -27,27 +28,27 @@
 )
 from ladderhub.membership.voter import LeaseVoter
 
-REST_WINDOWS = 1.5  # cold windows that a slot rests between holders; the module counts offers for 1.25
-UNUSED_LEASE_SHARE = 0.05  # the end of a lease that a holder leaves unused, for clocks that drift apart
+QUARANTINE_WINDOWS = 1.5  # quarantine between holders, in cold windows; the module counts offers for 1.25
+UNUSED_LEASE_SHARE = 0.05  # last part of a lease that the holder does not use, against clock drift
 RENEWALS_PER_LEASE = 4
-FAST_RENEWAL_FACTOR = 4  # so many times more often while slots are lacking
-MAX_ROUNDS = 8  # rounds of requests whose grants are still taken
-MAX_FUTILE_ROUNDS = 2  # without a majority, after which a slot is left to whoever has the other votes
+FAST_RENEWAL_FACTOR = 4  # times as many renewals while slots are lacking
+MAX_ROUNDS = 8  # latest rounds whose grants are still accepted
+MAX_FUTILE_ROUNDS = 2  # without a majority; then the slot is left to the holder of the other votes
 
 
 class _Round:
-    """One request to all voters, and what each of them granted."""
+    """One request to all voters, and the slots that each of them granted."""
 
     def __init__(self, begun_ns: int, wanted: set[int]) -> None:
         self.begun_ns, self.wanted = begun_ns, wanted
-        self.granted: dict[str, set[int]] = {}  # by address of the voter
+        self.granted: dict[str, set[int]] = {}  # by voter address
 
-    def votes(self, slot: int) -> int:
+    def count_votes(self, slot: int) -> int:
         return sum(slot in granted for granted in self.granted.values())
 
 
 class LeaseHolder:
-    """Decides for one scheduler: as a holder, and as a voter where its address is among the voters'."""
+    """Holds leases for one scheduler, and also votes if its address is among those of the voters."""
 
     def __init__(self, settings: LeaseSettings, seed: int, now: int) -> None:
         self.settings = settings
@@ -56,21 +57,21 @@
         self._random = random.Random(seed)
         self._majority = len(settings.voters) // 2 + 1
         self._usable_ns = round(settings.lease_ns * (1 - UNUSED_LEASE_SHARE))
-        self._rest_ns = round(settings.window_ns * REST_WINDOWS)
+        self._quarantine_ns = round(settings.window_ns * QUARANTINE_WINDOWS)
         self._summary = MembershipSummary(1, 0, True)
         self._number = 0
         self._rounds: dict[int, _Round] = {}
-        self._expires_ns: dict[int, int] = {}  # by slot with a majority
-        self._held_since_ns: dict[int, int] = {}  # by slot with a majority: without a gap
-        self._pending: dict[int, int] = {}  # slots requested without a majority yet: in how many rounds
-        self._free: dict[str, set[int]] = {}  # by voter, as it last reported
-        self._trusted_from_ns = now  # grants of earlier rounds are not used
+        self._expires_ns: dict[int, int] = {}  # by held slot
+        self._held_since_ns: dict[int, int] = {}  # by held slot: start of uninterrupted possession
+        self._pending: dict[int, int] = {}  # by slot without a majority yet: rounds in which it was requested
+        self._free: dict[str, set[int]] = {}  # by voter: free slots that it last reported
+        self._trusted_from_ns = now  # grants of rounds begun earlier are not used
         self._next_request_ns = now
         self._published = LeasesHeld((), -1)
         self._actions: list[Action] = []
 
     def handle(self, now_ns: int, event: MessageReceived | MembershipSummary | Stop) -> list[Action]:
-        """Take one event and give the actions it calls for."""
+        """Handle one event and return the resulting actions."""
         self._actions = []
         if isinstance(event, MembershipSummary):
             self._on_summary(now_ns, event)
@@ -80,21 +81,21 @@
             self._on_received(now_ns, event)
         return self._actions
 
-    # --- what may be used -------------------------------------------------------------------------------
+    # --- usable slots -----------------------------------------------------------------------------------
 
     def get_held_slots(self, now: int) -> list[int]:
-        """Slots with a majority now, used or not."""
+        """Slots with a majority now, including those in quarantine."""
         return sorted(slot for slot, expires in self._expires_ns.items() if expires > now)
 
     def get_usable_leases(self, now: int) -> LeasesHeld:
-        """Slots that may be used, and until when all of them may."""
+        """Slots that may be used now, and the time until which all of them may."""
         slots = tuple(slot for slot in self.get_held_slots(now) if self._is_usable(now, slot))
         return LeasesHeld(slots, min((self._expires_ns[slot] for slot in slots), default=-1))
 
     def _is_usable(self, now: int, slot: int) -> bool:
-        rested = self._held_since_ns[slot] <= now - self._rest_ns
+        quarantine_over = self._held_since_ns[slot] <= now - self._quarantine_ns
         requested_ns = self._expires_ns[slot] - self._usable_ns
-        return rested and requested_ns >= self._trusted_from_ns
+        return quarantine_over and requested_ns >= self._trusted_from_ns
 
     def _publish(self, now: int) -> None:
         usable = self.get_usable_leases(now)
@@ -106,7 +107,7 @@
 
     def _on_summary(self, now: int, summary: MembershipSummary) -> None:
         self._summary = summary
-        if not summary.confirmed:  # what was granted before peers confirm our view is not used
+        if not summary.confirmed:  # grants from before peers confirm our view are not used
             self._trusted_from_ns = now + 1
         for slot in [slot for slot, expires in self._expires_ns.items() if expires <= now]:
             del self._expires_ns[slot], self._held_since_ns[slot]
@@ -118,45 +119,45 @@
             self._request(now)
         self._publish(now)
 
-    def _fair_share(self) -> int:
-        """The slots of one member, rounded up."""
+    def _compute_fair_share(self) -> int:
+        """Slots per member, rounded up."""
         return -(-self.settings.slots // max(1, self._summary.member_count))
 
     def _balance(self) -> None:
-        """Hold as many as the others: release what is more, request what is less."""
+        """Hold a fair share: release the excess, or request the slots that are lacking."""
         futile = {slot for slot, rounds in self._pending.items() if rounds >= MAX_FUTILE_ROUNDS}
-        excess = max(0, len(self._expires_ns) - self._fair_share())
+        excess = max(0, len(self._expires_ns) - self._compute_fair_share())
         if futile or excess:
-            self._release(futile | set(self._newest_slots()[:excess]))
-        lacking = self._fair_share() - len(self._expires_ns) - len(self._pending)
+            self._release(futile | set(self._get_newest_slots()[:excess]))
+        lacking = self._compute_fair_share() - len(self._expires_ns) - len(self._pending)
         if lacking > 0:
-            for slot in self._free_slots(futile)[:lacking]:
+            for slot in self._find_free_slots(futile)[:lacking]:
                 self._pending[slot] = 0
 
-    def _newest_slots(self) -> list[int]:
-        """Held slots, the latest first."""
+    def _get_newest_slots(self) -> list[int]:
+        """Held slots, the most recently acquired first."""
         return sorted(self._expires_ns, key=lambda slot: (self._held_since_ns[slot], slot), reverse=True)
 
-    def _free_slots(self, excluded: set[int]) -> list[int]:
-        """Slots that a majority of voters reports free, in the order in which to request them.
+    def _find_free_slots(self, excluded: set[int]) -> list[int]:
+        """Find slots that a majority of voters reports free, in the order in which to request them.
 
-        Where views agree each member begins with other ones; else chance separates those who collide."""
+        With equal views each member begins with different slots; random order resolves other collisions."""
         summary = self._summary
         taken = excluded | self._expires_ns.keys() | self._pending.keys()
         free = [
             slot
             for slot in range(self.settings.slots)
-            if slot not in taken and self._free_votes(slot) >= self._majority
+            if slot not in taken and self._count_free_votes(slot) >= self._majority
         ]
         self._random.shuffle(free)
         free.sort(key=lambda slot: slot % max(1, summary.member_count) != summary.rank)
         return free
 
-    def _free_votes(self, slot: int) -> int:
+    def _count_free_votes(self, slot: int) -> int:
         return sum(slot in free for free in self._free.values())
 
     def _request(self, now: int) -> None:
-        """Begin a round: renew what is held, request what is pending."""
+        """Begin a round: renew the held slots and request the pending ones."""
         wanted = set(self._expires_ns) | set(self._pending)
         for slot in self._pending:
             self._pending[slot] += 1
@@ -164,7 +165,7 @@
         self._rounds[self._number] = _Round(now, wanted)
         self._rounds.pop(self._number - MAX_ROUNDS, None)
         encoded = encode_slots(wanted, self.settings.slots)
-        lacking = len(self._expires_ns) < self._fair_share()
+        lacking = len(self._expires_ns) < self._compute_fair_share()
         request = LeaseRequest(self._number, encoded, self.settings.address, lacking)
         self._send_to_voters(request)
         if self.voter is not None:
@@ -173,17 +174,18 @@
                 self._on_grant(now, grant)
 
     def _release(self, slots: set[int]) -> None:
+        """Give up these slots and tell the voters."""
         for slot in slots:
             self._expires_ns.pop(slot, None)
             self._held_since_ns.pop(slot, None)
             self._pending.pop(slot, None)
-        for lease_round in self._rounds.values():  # grants that are on their way give nothing back
+        for lease_round in self._rounds.values():  # late grants must not return the slots
             lease_round.wanted -= slots
             lease_round.granted = {voter: granted - slots for voter, granted in lease_round.granted.items()}
         if set(self._published.slots) & slots:
             kept = tuple(slot for slot in self._published.slots if slot not in slots)
             self._published = LeasesHeld(kept, self._published.until_ns if kept else -1)
-            self._actions.append(self._published)  # before others may have them
+            self._actions.append(self._published)  # must precede the release to the voters
         release = LeaseRelease(self._number, encode_slots(slots, self.settings.slots))
         if self.voter is not None:
             self.voter.handle_release(self._self_id, release)
@@ -209,7 +211,9 @@
             self.voter.handle_release(sender, message)
 
     def _on_grant(self, now: int, grant: LeaseGrant) -> None:
-        """A vote in one of our rounds.  Only votes of one round make a majority: they have one start."""
+        """Count the votes of a voter in one of our rounds.
+
+        Votes of different rounds do not add up to a majority: a lease runs from the start of its round."""
         lease_round = self._rounds.get(grant.number)
         if lease_round is None or grant.voter not in self.settings.voters:
             return
@@ -221,11 +225,11 @@
         if expires <= now:
             return
         for slot in granted:
-            if lease_round.votes(slot) >= self._majority:
+            if lease_round.count_votes(slot) >= self._majority:
                 self._hold(now, slot, expires)
 
     def _hold(self, now: int, slot: int, expires: int) -> None:
-        """A majority has granted the slot until then."""
+        """Record that a majority has granted the slot until `expires`."""
         before = self._expires_ns.get(slot, -1)
         if before <= now:
             self._held_since_ns[slot] = now
--- a/ladderhub/membership/messages.py
+++ b/ladderhub/membership/messages.py
@@ -1,4 +1,4 @@
-"""Messages between members.  Plain data with bounds on every field; framing and bytes are in `peers`.
+"""Messages between members: plain data with bounds on every field.  `peers` frames and encodes them.
 
 Structs are encoded as arrays with an integer tag: the order of fields and the tags are the wire format."""
 
@@ -11,9 +11,9 @@
 
 MAX_NAME_LENGTH = 64
 MAX_MESSAGE_ENTRIES = 64
-DIGEST_BUCKETS = 64  # parts of a view that anti-entropy compares
+DIGEST_BUCKETS = 64  # parts of a view that anti-entropy compares separately
 BUCKET_DIGEST_BYTES = 4
-MAX_SLOTS = 4096  # slots over which the cold budget of a fresh node may be dealt
+MAX_SLOTS = 4096  # slots among which the cold budget of a fresh node may be divided
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
 Address = Annotated[str, msgspec.Meta(max_length=MAX_NAME_LENGTH, pattern=r"^[^:\s]+:[0-9]{1,5}$")]
@@ -22,8 +22,10 @@
 
 
 class Status(IntEnum):
-    """In the order in which reports of one incarnation override each other.  RETURNING: the member itself
-    says that it is alive, to those who had it as gone, and nobody has confirmed it."""
+    """Status of a member.  Within one incarnation a higher value overrides a lower one.
+
+    RETURNING: the member itself reports that it is alive to members that considered it gone, and no other
+    member has confirmed it yet."""
 
     RETURNING = 0
     ALIVE = 1
@@ -32,7 +34,7 @@
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """A member as somebody knows it."""
+    """A member as another member knows it."""
 
     name: Name
     life: UInt63
@@ -52,7 +54,7 @@
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """A direct probe.  `digest` and `members` sum up the sender's view; `gossip` rides along."""
+    """A direct probe.  `digest` and `members` summarise the sender's view; `gossip` is piggybacked."""
 
     number: UInt31
     digest: UInt63
@@ -61,7 +63,7 @@
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """The answer to a ping of that number."""
+    """The answer to the ping with that number."""
 
     number: UInt31
     digest: UInt63
@@ -77,7 +79,7 @@
 
 
 class IndirectAck(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """The proxy has heard that member so long ago."""
+    """The proxy heard that member `age_ms` ago."""
 
     number: UInt31
     name: Name
@@ -100,20 +102,22 @@
 
 
 class SyncEntries(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """Anti-entropy: entries that the receiver seems to lack, or has otherwise."""
+    """Anti-entropy: entries that the receiver may lack or hold in a different version."""
 
     entries: Entries
 
 
 class NameConflict(msgspec.Struct, frozen=True, array_like=True, tag=8):
-    """The receiver's name is held by this member: the two are to settle who stays."""
+    """This member also claims the receiver's name: the two settle which of them keeps it."""
 
     holder: Entry
 
 
 class LeaseRequest(msgspec.Struct, frozen=True, array_like=True, tag=9):
-    """To a voter: grant or renew leases of these slots.  Numbers grow within a life; the answer goes to
-    `address`, and names free slots where the sender is `lacking` some."""
+    """Asks a voter to grant or renew leases of these slots.
+
+    `number` grows within a life.  The answer goes to `address`, and lists the free slots if the sender is
+    `lacking` some."""
 
     number: UInt31
     slots: EncodedSlots
@@ -122,8 +126,9 @@
 
 
 class LeaseGrant(msgspec.Struct, frozen=True, array_like=True, tag=10):
-    """A voter's answer to the request of that number: these are granted; `free`, where asked for, are
-    held by nobody."""
+    """A voter's answer to the request with that number: `slots` are granted.
+
+    `free` lists the slots that no holder has, if the request asked for them."""
 
     number: UInt31
     slots: EncodedSlots
@@ -132,7 +137,7 @@
 
 
 class LeaseRelease(msgspec.Struct, frozen=True, array_like=True, tag=11):
-    """The sender no longer uses these slots, by any request up to that number."""
+    """The sender gives up these slots, as far as granted by requests up to that number."""
 
     number: UInt31
     slots: EncodedSlots
--- a/ladderhub/membership/probing.py
+++ b/ladderhub/membership/probing.py
@@ -1,4 +1,4 @@
-"""Probes of the monitored members, direct and through proxies, and the verdicts; and proxying for others."""
+"""Probes the monitored members directly and through proxies, evaluates their silence, and acts as a proxy."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from ladderhub.membership.table import is_alive, member_id
 from ladderhub.membership.types import Change, MessageReceived
 
-SWEEP_PROBES_PER_TICK = 6  # probes of a sweep, beside those of the monitored members
+SWEEP_PROBES_PER_TICK = 6  # in addition to the probes of the monitored members
 RECENTLY_HEARD_PERIODS = 3  # proxies heard since then are asked first
-MAX_RANDOM_PROXIES = 64  # candidates beside the other observers
+MAX_RANDOM_PROXIES = 64  # proxy candidates besides the other observers
 _MILLISECOND_NS = 1_000_000
 
 
 class Prober:
-    """Probes the monitored members, and reports those that are suspected or gone.
+    """Probes the monitored members and reports those that are suspected or gone.
 
-    While many are suspected it also sweeps over the fleet: all observers of some member may be gone."""
+    While many are suspected it also sweeps over all members: all observers of a member may be gone."""
 
     def __init__(self, context: MemberContext, merger: EntryMerger) -> None:
         self.context, self.merger = context, merger
@@ -31,25 +31,26 @@
         self._last_sweep_ns = 0
 
     def on_tick(self, now: int) -> None:
+        """Probe the next batch of monitored members, continue a sweep, and evaluate silent members."""
         table = self.context.table
         if self._seen_changes != self.merger.membership_changes:
             self._seen_changes = self.merger.membership_changes
-            self.detector.set_subjects(now, table.rings.subjects(self.context.self_id), table.rings)
-        for member in self.detector.next_batch():
+            self.detector.set_subjects(now, table.rings.find_subjects(self.context.self_id), table.rings)
+        for member in self.detector.take_next_batch():
             self._probe(now, member, table.entries[member])
         self._sweep(now)
         for member in list(self.detector.monitored):
-            if self.detector.silent_periods(member, now) >= detection.SUSPECT_PERIODS:
+            if self.detector.count_silent_periods(member, now) >= detection.SUSPECT_PERIODS:
                 self._evaluate(now, member)
 
     def _probe(self, now: int, member: MemberId, entry: Entry) -> None:
-        """Ping a member, and where it has been silent ask proxies."""
+        """Ping a member; if it has been silent, ask proxies to probe it too."""
 
         def on_probed(at: int, ack: MessageReceived | None) -> None:
             if ack is not None and (ack.name, ack.life) != member:
                 self.merger.mark_replaced(at, member, ack)
 
-        silent_periods = self.detector.silent_periods(member, now)
+        silent_periods = self.detector.count_silent_periods(member, now)
         silent = silent_periods >= detection.INDIRECT_PROBE_PERIODS
         self.context.probe(now, entry, on_probed, include_self=not self.context.joined, skip_gossip=silent)
         if silent:
@@ -61,21 +62,23 @@
         wanted = min(detection.MAX_PROXIES, round(detection.MIN_PROXIES + more))
         for proxy in self._choose_proxies(now, member, subject, wanted):
             subject.proxies_asked.append(proxy)
-            request = IndirectProbe(self.context.next_number(), entry)
+            request = IndirectProbe(self.context.take_next_number(), entry)
             self.context.send(self.context.address_of(proxy), request)
 
     def _choose_proxies(
         self, now: int, member: MemberId, subject: detection.MonitoredMember, wanted: int
     ) -> list[MemberId]:
-        """The member's other observers first, then random ones; those heard lately first, each in turn."""
+        """Choose the proxies to ask next: each is asked once before any is asked again.
+
+        Recently heard ones come first; among those, the member's other observers before random members."""
         context = self.context
         since = now - RECENTLY_HEARD_PERIODS * context.period
-        observers = [each for each in context.table.rings.observers(member) if each != context.self_id]
+        observers = [each for each in context.table.rings.find_observers(member) if each != context.self_id]
         excluded = {member, *observers}
         others = [each for each in context.other_members() if each not in excluded]
         context.random.shuffle(others)
         candidates = [*observers, *others[:MAX_RANDOM_PROXIES]]
-        candidates.sort(key=lambda each: not context.heard_since(each, since))
+        candidates.sort(key=lambda each: not context.has_heard_since(each, since))
         unasked = [each for each in candidates if each not in subject.proxies_asked]
         if len(unasked) < wanted:
             subject.proxies_asked.clear()
@@ -83,15 +86,15 @@
         return unasked[:wanted]
 
     def _sweep(self, now: int) -> None:
-        """While many are suspected, probe members that we do not monitor, some at each tick."""
+        """While many members are suspected, probe those that we do not monitor, a few per tick."""
         context = self.context
         due = not self._sweep_targets and now >= self._last_sweep_ns + context.period
-        if due and self.detector.many_suspected():
+        if due and self.detector.has_many_suspected():
             self._last_sweep_ns = now
             silent = [
                 each
                 for each in context.other_members()
-                if not context.heard_since(each, now - context.period)
+                if not context.has_heard_since(each, now - context.period)
             ]
             self._sweep_targets = context.random.sample(silent, min(detection.MAX_ADOPTED, len(silent)))
         count = min(SWEEP_PROBES_PER_TICK, len(self._sweep_targets))
@@ -104,30 +107,30 @@
             return
 
         def on_probed(at: int, ack: MessageReceived | None) -> None:
-            unheard = ack is None and not self.context.heard_since(member, now)
+            unheard = ack is None and not self.context.has_heard_since(member, now)
             if unheard and member in self.context.table.rings:
                 self.detector.adopt(member, now)
 
         self.context.probe(now, entry, on_probed, skip_gossip=True)
 
     def _evaluate(self, now: int, member: MemberId) -> None:
-        """A member is silent: suspect it, declare it gone, or wait for more nacks."""
+        """Handle a silent member: suspect it, declare it gone, or wait for more nacks."""
         entry, subject = self.context.table.entries[member], self.detector.monitored[member]
-        silent_periods = self.detector.silent_periods(member, now)
+        silent_periods = self.detector.count_silent_periods(member, now)
         if self.detector.has_enough_nacks(member, now, self.context.member_count() - 2):
-            others = self.detector.fresh_nacks(member, now)
-            cause = f"no answer to us and {others} others for {silent_periods:.1f} periods"
+            others = self.detector.count_fresh_nacks(member, now)
+            cause = f"no answer to us or to {others} proxies for {silent_periods:.1f} periods"
             if silent_periods >= detection.GONE_PERIODS:
                 self.merger.merge(now, replace(entry, status=Status.GONE), cause)
             elif not subject.suspected:
                 subject.suspected = True
                 self.context.report(Change.SUSPECTED, entry, cause)
         elif silent_periods >= detection.ISOLATED_PERIODS and self.detector.is_isolated(now):
-            # Nobody confirms it: this changes our own view and is not spread.
-            self.merger.apply(now, replace(entry, status=Status.GONE), "we hear nobody", spread=False)
+            # No proxy confirms it, so this changes only our own view and is not gossiped.
+            self.merger.apply(now, replace(entry, status=Status.GONE), "no member answers", spread=False)
 
     def is_disputable(self, now: int, entry: Entry) -> bool:
-        """Is a member reported gone that is alive in our view and not suspected by us?"""
+        """Whether the entry reports a member gone that is alive in our view and that we do not suspect."""
         member = member_id(entry)
         known = self.context.table.get(member)
         if known is None or entry.status is not Status.GONE or not is_alive(known):
@@ -136,17 +139,18 @@
             return False
         if member not in self.detector.monitored:
             return True
-        return self.detector.silent_periods(member, now) < detection.SUSPECT_PERIODS
+        return self.detector.count_silent_periods(member, now) < detection.SUSPECT_PERIODS
 
-    # --- signs of life ----------------------------------------------------------------------------------
+    # --- received messages ------------------------------------------------------------------------------
 
     def on_heard(self, now: int, entry: Entry) -> None:
+        """Record that a member sent us a message."""
         self.context.last_heard_ns[member_id(entry)] = now
         if self.detector.record_heard(member_id(entry), now):
             self.context.report(Change.CLEARED, entry, "heard again")
 
     def on_indirect_probe(self, now: int, address: str, request: IndirectProbe) -> None:
-        """Be a proxy: answer when we last heard the target, or probe it."""
+        """Act as a proxy: report when we last heard the target, or probe it if that was too long ago."""
         context, target, number = self.context, request.target, request.number
         if target.name == context.self_entry.name:
             return
@@ -164,7 +168,8 @@
         context.probe(now, target, on_probed, skip_gossip=True)
 
     def on_indirect_ack(self, now: int, proxy: str, ack: IndirectAck) -> None:
+        """Record that a proxy has heard a member."""
         target = self.context.table.get((ack.name, ack.life))
         age_ns = ack.age_ms * _MILLISECOND_NS
         if target is not None and self.detector.record_heard(member_id(target), now, age_ns):
-            self.context.report(Change.CLEARED, target, f"{proxy} reaches it")
+            self.context.report(Change.CLEARED, target, f"reached by {proxy}")
--- a/ladderhub/membership/slots.py
+++ b/ladderhub/membership/slots.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-_LIST, _BITMAP = 1, 0  # one holder among a thousand has one slot, one alone has all of them
+_LIST, _BITMAP = 1, 0  # a holder among many has few slots (list); a single holder has all (bitmap)
 _SLOT_BYTES = 2
 
 
 def encode_slots(slots: set[int], count: int) -> bytes:
-    """A list of slots or a bitmap over `count`, whichever is shorter; at least one byte, also for none."""
+    """Encode as a list or as a bitmap of `count` bits, whichever is shorter.  The result is never empty."""
     bitmap_bytes = (count + 7) // 8
     if _SLOT_BYTES * len(slots) < bitmap_bytes:
         return bytes((_LIST,)) + b"".join(slot.to_bytes(_SLOT_BYTES, "big") for slot in sorted(slots))
@@ -15,7 +15,7 @@
 
 
 def decode_slots(encoded: bytes, count: int) -> set[int]:
-    """The slots below `count`; anything else is left out."""
+    """Decode the slots below `count`; ignore anything else."""
     if encoded[:1] == bytes((_LIST,)):
         starts = range(1, len(encoded), _SLOT_BYTES)
         listed = {int.from_bytes(encoded[start : start + _SLOT_BYTES], "big") for start in starts}
--- a/ladderhub/membership/types.py
+++ b/ladderhub/membership/types.py
@@ -1,4 +1,4 @@
-"""Settings, events and actions of the membership decisions.  Times are nanoseconds of one steady clock."""
+"""Settings, events and actions of the membership decisions.  Times are nanoseconds of a monotonic clock."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberSettings:
-    """What one member is given at its start.
+    """Settings of one member.
 
-    `life`: grows over all lives of a name, from the wall clock and what the last life left on disk.  `seeds`
-    and `known`: addresses to begin with, from the settings and from an earlier life.  All time-outs of the
-    protocol are multiples of `period_ns`."""
+    `life`: increases with each life of a name, from the wall clock and the number stored by the last life.
+    `seeds` and `known`: addresses to contact first, from the settings and from an earlier life.  All timeouts
+    of the protocol are multiples of `period_ns`."""
 
     name: str
     life: int
@@ -27,17 +27,17 @@
 
     def __post_init__(self) -> None:
         if not self.name or len(self.name) > MAX_NAME_LENGTH:
-            raise ValueError("name: 1 to 64 characters are meant")
+            raise ValueError("name: must have 1 to 64 characters")
         if self.life <= 0 or self.period_ns <= 0:
-            raise ValueError("life and period_ns: must be above 0")
+            raise ValueError("life and period_ns: must be greater than 0")
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseSettings:
-    """What one lease holder is given at its start.
+    """Settings of one lease holder.
 
-    `slots`: over how many slots the cold budget is dealt.  `voters`: addresses, the same on all schedulers.
-    `window_ns`: the cold window, for which offers count at a node."""
+    `slots`: number of slots among which the cold budget is divided.  `voters`: addresses, the same on all
+    schedulers.  `window_ns`: the cold window, for which an offer counts at a node."""
 
     name: str
     life: int
@@ -49,16 +49,16 @@
 
     def __post_init__(self) -> None:
         if not 0 < self.slots <= MAX_SLOTS:
-            raise ValueError(f"slots: 1 to {MAX_SLOTS} are meant")
+            raise ValueError(f"slots: must be between 1 and {MAX_SLOTS}")
         if not self.voters or len(set(self.voters)) != len(self.voters):
-            raise ValueError("voters: at least one address is meant, each once")
+            raise ValueError("voters: must be distinct addresses, at least one")
         if self.lease_ns <= 0 or self.window_ns < 0:
-            raise ValueError("lease_ns: must be above 0; window_ns: must not be negative")
+            raise ValueError("lease_ns: must be greater than 0; window_ns: must not be negative")
 
 
 @dataclass(frozen=True, slots=True)
 class MessageReceived:
-    """A message came from the process that calls itself so."""
+    """A message was received; the sender gave this name, life and incarnation."""
 
     name: str
     life: int
@@ -68,19 +68,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """The moment that `WakeAt` asked for, or a later one."""
+    """The time requested by `WakeAt` has come; the event may be late."""
 
 
 @dataclass(frozen=True, slots=True)
 class Stop:
-    """This scheduler ends: it leaves the group."""
+    """This scheduler stops and leaves the group."""
 
 
 Event = MessageReceived | Tick | Stop
 
 
 class Change(Enum):
-    """What has changed about a member.  The values stand in the log, where operators look for them."""
+    """Kinds of changes of a member.  The values are written to the log, where operators search for them."""
 
     ALIVE = "alive"
     SUSPECTED = "suspected"
@@ -106,14 +106,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WakeAt:
-    """Call with `Tick` at this moment; replaces an earlier one."""
+    """Deliver a `Tick` at this time; replaces an earlier request."""
 
     at_ns: int
 
 
 @dataclass(frozen=True, slots=True)
 class MemberChanged:
-    """A change of the view, with its cause, for the operator and for those who go by the view."""
+    """A change of the view and its cause, for the log and for users of the view."""
 
     change: Change
     name: str
@@ -123,8 +123,9 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipSummary:
-    """The view as the lease holder needs it, told at every tick: the number of members, our rank among
-    them by name, and whether peers confirm the view."""
+    """Summary of the view that the lease holder gets at every tick.
+
+    It holds the number of members, our rank among them by name, and whether peers confirm the view."""
 
     member_count: int
     rank: int
@@ -133,7 +134,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeasesHeld:
-    """From now on these slots and no others may be used, and none of them from `until_ns` on."""
+    """Exactly these slots may be used, until `until_ns`; replaces the previous set."""
 
     slots: tuple[int, ...]
     until_ns: int
--- a/ladderhub/membership/view.py
+++ b/ladderhub/membership/view.py
@@ -1,4 +1,4 @@
-"""The membership decisions of one scheduler: ticks, received messages, its own pauses, join and leave."""
+"""Membership decisions of one scheduler: ticks, received messages, pauses of its own, joining and leaving."""
 
 from __future__ import annotations
 
@@ -33,17 +33,17 @@
     WakeAt,
 )
 
-MAX_SYNC_MESSAGES = 4  # in answer to one digest
-JOIN_SYNC_PERIODS = 20  # periods after the start in which views are compared at each tick
-JOIN_PROBES = 3  # addresses probed at a tick while nobody has answered yet
-CONFIRMING_PEERS = 2  # answers that confirm the view after a pause, fewer where fewer are monitored
-DUPLICATE_PROBE_PERIODS = 2  # between probes of the elder process of our name
+MAX_SYNC_MESSAGES = 4  # sent in answer to one digest
+JOIN_SYNC_PERIODS = 20  # after the start: until then views are compared at each tick
+JOIN_PROBES = 3  # addresses probed per tick until a member has answered
+CONFIRMING_PEERS = 2  # answers that confirm the view after a pause, or fewer if fewer are monitored
+DUPLICATE_PROBE_PERIODS = 2  # between probes of the older process with our name
 RECENT_GOSSIP_PERIODS = 2  # a member heard since then may refute gossip that it is gone
-LEAVE_COPIES = 2  # of the last message: there is no later occasion to repeat it
+LEAVE_COPIES = 2  # of the leave message, which cannot be repeated later
 
 
 class MembershipView:
-    """Decides for one member.  Feed it events in order; carry out its actions in order."""
+    """Makes the decisions of one member.  Pass it events in order, and carry out its actions in order."""
 
     def __init__(self, settings: MemberSettings, seed: int) -> None:
         self.period = settings.period_ns
@@ -57,17 +57,17 @@
         ]
         self._sync_address = ""  # of the peer whose view last differed from ours
         self._next_tick_ns = -1
-        self._resumed_ns = -1  # end of a pause of ours that peers have not yet confirmed to be over
+        self._resumed_ns = -1  # end of our last pause, until peers have answered again; -1 otherwise
         self._tick_count = 0
 
     def handle(self, now_ns: int, event: Event) -> list[Action]:
-        """Take one event and give the actions it calls for."""
+        """Handle one event and return the resulting actions."""
         actions: list[Action] = []
         self.context.actions = actions
         if self._stopped:
             return actions
-        late_ns = self._late_ns(now_ns)
-        if late_ns > self.period:  # first of all: what came meanwhile must be read knowing it
+        late_ns = self._compute_late_ns(now_ns)
+        if late_ns > self.period:  # first, because the event must be handled as one after a pause
             self._on_pause(now_ns, late_ns)
         if isinstance(event, MessageReceived):
             self._on_received(now_ns, event)
@@ -83,11 +83,11 @@
 
     @property
     def yielded_to(self) -> Entry | None:
-        """The elder process of our name, to which we yielded."""
+        """The older process with our name to which this one has yielded, or None."""
         return self.merger.yielded_to
 
     def preload(self, now_ns: int, entries: list[Entry]) -> None:
-        """Begin with these members instead of learning of them; for emulators that start a settled fleet."""
+        """Start with these members already known, for emulators that begin with a converged group."""
         for entry in entries:
             if entry.name != self.self_entry.name:
                 self.context.table.put(now_ns, entry)
@@ -95,7 +95,7 @@
         self.context.joined = True
 
     def members(self) -> list[Entry]:
-        """The living members, ourselves among them; suspected ones too."""
+        """The living members, including ourselves and suspected ones."""
         return self.context.table.members()
 
     def get_suspected_names(self) -> list[str]:
@@ -104,22 +104,22 @@
         return sorted(name for (name, _), subject in monitored.items() if subject.suspected)
 
     def address_of(self, name: str, life: int) -> str | None:
-        """Of a member that is known, living or departed."""
+        """Address of a known member, living or departed."""
         entry = self.context.table.get((name, life))
         return entry.address if entry is not None else None
 
     def get_peer_addresses(self) -> list[str]:
-        """Of all other members: worth keeping for a next life."""
+        """Addresses of all other members, to be stored for the next life."""
         return sorted(map(self.context.address_of, self.context.other_members()))
 
     # --- ticks ------------------------------------------------------------------------------------------
 
-    def _late_ns(self, now: int) -> int:
+    def _compute_late_ns(self, now: int) -> int:
         return now - self._next_tick_ns if self._next_tick_ns >= 0 else 0
 
     def _on_tick(self, now: int) -> None:
         tick_ns = self.period // detection.TICKS_PER_PERIOD
-        late_ns = self._late_ns(now)
+        late_ns = self._compute_late_ns(now)
         if late_ns > tick_ns:
             self.prober.detector.extend_deadlines(late_ns)
         self._next_tick_ns = now + tick_ns
@@ -139,7 +139,9 @@
             self._probe_known_addresses(JOIN_PROBES)
 
     def _start_sync(self, period_over: bool) -> None:
-        """Anti-entropy repairs what gossip lost; a member that has just joined asks at once."""
+        """Send our digests to a peer whose view differs.
+
+        Anti-entropy repairs what gossip lost.  It waits until all gossip is sent, except after the start."""
         joining = self._tick_count < JOIN_SYNC_PERIODS * detection.TICKS_PER_PERIOD
         gossip_done = period_over and not len(self.context.gossip)
         if self._sync_address and (joining or gossip_done):
@@ -151,48 +153,52 @@
         self.merger.on_period(now)
         self._probe_known_addresses(1 if self.context.joined else JOIN_PROBES)
         others = self.context.other_members()
-        if others and self.context.joined:  # gossip must also cross where the rings do not
+        if others and self.context.joined:  # random pings carry gossip where pings along the rings do not
             self.context.ping(self.context.address_of(self.context.random.choice(others)))
         self._update_confirmed(now)
 
     def _probe_known_addresses(self, count: int) -> None:
-        """Addresses of no living member: seeds, those of an earlier life, those of departed members."""
+        """Ping addresses without a living member: seeds, those of an earlier life and of departed members."""
         table = self.context.table
         departed = [table.entries[member].address for member in table.departed]
         unused = sorted({*self._known_addresses, *departed} - table.by_address.keys())
         for address in self.context.random.sample(unused, min(count, len(unused))):
             self.context.ping(address, include_self=True, skip_gossip=True)
 
-    # --- ourselves --------------------------------------------------------------------------------------
+    # --- own state --------------------------------------------------------------------------------------
 
     def _on_pause(self, now: int, late_ns: int) -> None:
-        """We stood still.  Nobody else is to blame, and our view holds only once peers confirm it."""
+        """Handle a pause of this process.
+
+        Silence measured across it counts against no member, and our view holds only once peers confirm it."""
         self._next_tick_ns = self._resumed_ns = now
         self.prober.detector.reset(now)
         self.context.cancel_probes()
         self.merger.extend_disputes(now)
-        self.context.report(Change.PAUSED, self.self_entry, f"stood still for {late_ns / 1e9:.1f} s")
+        self.context.report(Change.PAUSED, self.self_entry, f"paused for {late_ns / 1e9:.1f} s")
         if self.prober.detector.monitored and self.yielded_to is None:
             self._set_confirmed(False, "after a pause")
             self._announce()
 
     def _announce(self) -> None:
-        """Ping those who monitor us at once, with our own entry."""
-        for member in self.context.table.rings.observers(self.context.self_id):
+        """Ping our observers at once, with our own entry."""
+        for member in self.context.table.rings.find_observers(self.context.self_id):
             self.context.ping(self.context.address_of(member), include_self=True)
 
     def _update_confirmed(self, now: int) -> None:
-        """Peers confirm the view while we are not isolated and, after a pause, once some have answered."""
+        """Update whether peers confirm our view.
+
+        They do while we are not isolated and, after a pause, once some of them have answered."""
         monitored = self.prober.detector.monitored
         if self._resumed_ns >= 0:
             acked = sum(subject.acked for subject in monitored.values())
             if acked >= min(CONFIRMING_PEERS, len(monitored)):
                 self._resumed_ns = -1
         elif self.prober.detector.is_isolated(now):
-            self._set_confirmed(False, "we hear nobody")
+            self._set_confirmed(False, "no member answers")
             return
         if self._resumed_ns < 0:
-            self._set_confirmed(True, "peers answer")
+            self._set_confirmed(True, "peers answered")
 
     def _set_confirmed(self, confirmed: bool, cause: str) -> None:
         if confirmed != self.confirmed:
@@ -206,7 +212,7 @@
             return
         leave = SyncEntries((replace(self.self_entry, status=Status.LEFT),))
         rings, self_id = self.context.table.rings, self.context.self_id
-        for member in sorted({*rings.observers(self_id), *rings.subjects(self_id)}):
+        for member in sorted({*rings.find_observers(self_id), *rings.find_subjects(self_id)}):
             for _ in range(LEAVE_COPIES):
                 self.context.send(self.context.address_of(member), leave)
 
@@ -230,11 +236,11 @@
         if entry is not None and is_alive(entry):
             self.prober.on_heard(now, entry)
         elif entry is not None and entry.status is Status.GONE and event.incarnation <= entry.incarnation:
-            self.context.send(entry.address, SyncEntries((entry,)))  # so that it can refute it
+            self.context.send(entry.address, SyncEntries((entry,)))  # so that the sender can refute it
         self._on_message(now, event, entry)
 
     def _on_message(self, now: int, event: MessageReceived, entry: Entry | None) -> None:
-        """`entry`: what is known of the sender after what it reported of itself."""
+        """Dispatch a message.  `entry`: the sender's entry after merging what it reported about itself."""
         message = event.message
         if isinstance(message, Ping):
             self._on_ping(now, event, message, entry)
@@ -251,7 +257,7 @@
             self._on_member_message(now, event, entry)
 
     def _on_member_message(self, now: int, event: MessageReceived, entry: Entry) -> None:
-        """Messages that are taken from known members alone."""
+        """Handle the messages that are accepted from known members only."""
         message = event.message
         if isinstance(message, IndirectProbe):
             self.prober.on_indirect_probe(now, entry.address, message)
@@ -267,29 +273,29 @@
     def _on_sync_entries(self, now: int, sender: str, message: SyncEntries) -> None:
         for reported in message.entries:
             if self.prober.is_disputable(now, reported):
-                # The other side of a partition may have all members on ours as gone.
+                # The other side of a partition may report all members on our side as gone.
                 self.merger.dispute(now, reported)
             else:
-                self.merger.merge(now, reported, f"told by {sender}")
+                self.merger.merge(now, reported, f"reported by {sender}")
 
     def _on_gossip(self, now: int, sender: str, reported: Entry) -> None:
-        heard = self.context.heard_since(member_id(reported), now - RECENT_GOSSIP_PERIODS * self.period)
+        heard = self.context.has_heard_since(member_id(reported), now - RECENT_GOSSIP_PERIODS * self.period)
         if heard and self.prober.is_disputable(now, reported):
             self.merger.dispute(now, reported)
         else:
-            self.merger.merge(now, reported, f"told by {sender}")
+            self.merger.merge(now, reported, f"reported by {sender}")
 
     def _on_sender_entry(self, now: int, entry: Entry) -> None:
-        """The sender reports its own entry."""
+        """Handle the entry in which the sender reports itself."""
         old = self.context.table.get(member_id(entry))
         if entry.status in (Status.ALIVE, Status.RETURNING) and (old is None or overrides(entry, old)):
-            self.merger.merge(now, entry, "it came")
+            self.merger.merge(now, entry, "announced itself")
 
     def _on_duplicate_message(self, now: int, event: MessageReceived) -> None:
-        """Another process has our name: answer its ping, and settle who stays."""
+        """Handle a message of another process with our name: answer a ping and settle who keeps the name."""
         message = event.message
         if isinstance(message, Ping):
-            own = _sender_entry(event, message)
+            own = _find_sender_entry(event, message)
             if own is not None and own.address != self.self_entry.address:
                 self._send_ack(own.address, message)
                 self.merger.on_own_name(now, own)
@@ -299,10 +305,10 @@
             self.merger.on_own_name(now, message.holder)
 
     def _on_ping(self, now: int, event: MessageReceived, ping: Ping, entry: Entry | None) -> None:
-        own = _sender_entry(event, ping)
+        own = _find_sender_entry(event, ping)
         sender = entry or own
         if sender is None or (entry is None and event.name in self.context.table.by_name):
-            return  # nobody to answer, or one whose name is taken: it has been sent a NameConflict
+            return  # unknown address, or a name conflict, of which the sender was notified
         first = self.self_entry if entry is None or own is not None else None
         self._send_ack(sender.address, ping, self.context.gossip.take(self.context.member_count(), first))
         self._check_digest(ping.digest, entry)
@@ -316,14 +322,14 @@
             self._sync_address = entry.address
 
     def _on_sync_digest(self, address: str, message: SyncDigest) -> None:
-        differing = self.context.table.differing_buckets(message.bucket_digests)
+        differing = self.context.table.find_differing_buckets(message.bucket_digests)
         self.context.random.shuffle(differing)
-        entries = [entry for index in differing for entry in self.context.table.bucket(index)]
+        entries = [entry for index in differing for entry in self.context.table.get_bucket_entries(index)]
         for group in pack_entries(entries)[:MAX_SYNC_MESSAGES]:
             self.context.send(address, SyncEntries(group))
 
 
-def _sender_entry(event: MessageReceived, ping: Ping) -> Entry | None:
-    """The sender's own entry, where its ping has it."""
+def _find_sender_entry(event: MessageReceived, ping: Ping) -> Entry | None:
+    """Return the sender's own entry if its ping contains it."""
     sender = (event.name, event.life)
     return next((entry for entry in ping.gossip if member_id(entry) == sender), None)
--- a/ladderhub/membership/voter.py
+++ b/ladderhub/membership/voter.py
@@ -1,7 +1,8 @@
-"""The voting side of leases: grants a slot to one holder at a time (an acceptor of PaxosLease).
+"""The voting side of leases: grants each slot to one holder at a time (the acceptor of PaxosLease).
 
-A voter gives no slot to another holder before its own grant has expired.  It keeps no disk, so it grants
-nothing for a whole lease after its start: an earlier life may have granted anything."""
+A voter does not grant a slot to another holder before its previous grant has expired.  It stores nothing on
+disk, so it grants nothing during the first lease period after its start: an earlier life may have granted
+any slot."""
 
 from __future__ import annotations
 
@@ -15,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Grant:
-    """Who holds a slot, until when, and by which request."""
+    """The holder of a slot, the expiry time, and the number of the request."""
 
     holder: MemberId
     expires_ns: int
@@ -23,7 +24,7 @@
 
 
 class LeaseVoter:
-    """Answers the requests and releases of all holders."""
+    """Handles the requests and releases of all holders."""
 
     def __init__(self, settings: LeaseSettings, now: int) -> None:
         self.settings = settings
@@ -31,12 +32,14 @@
         self._grants: dict[int, _Grant] = {}
 
     def _is_free(self, now: int, slot: int, holder: MemberId | None) -> bool:
-        """May this holder, or anybody if None, have the slot?"""
+        """Whether the slot may be granted to this holder, or to any holder if None."""
         grant = self._grants.get(slot)
         return grant is None or grant.holder == holder or grant.expires_ns <= now
 
     def handle_request(self, now: int, holder: MemberId, request: LeaseRequest) -> LeaseGrant | None:
-        """Grant what is free or the holder's own; no answer while this voter is new."""
+        """Grant the requested slots that are free or already held by this holder.
+
+        Return None, which means no answer, during the first lease period after the start."""
         if now < self._silent_until_ns:
             return None
         slot_count = self.settings.slots
@@ -58,7 +61,7 @@
         self._grants[slot] = _Grant(holder, now + self.settings.lease_ns, number)
 
     def handle_release(self, holder: MemberId, release: LeaseRelease) -> None:
-        """Free what the holder gives up, unless it has requested it again since."""
+        """Free the released slots, except those that the holder has requested again since."""
         for slot in decode_slots(release.slots, self.settings.slots):
             grant = self._grants.get(slot)
             if grant is not None and grant.holder == holder and grant.number <= release.number:
--- a/ladderhub/peers/__init__.py
+++ b/ladderhub/peers/__init__.py
@@ -1,6 +1,6 @@
 """Datagrams between schedulers: their encoding, and the carrier that sends and receives them on the loop.
 
-One message a datagram, MessagePack by `msgspec`, at most 1,200 bytes, with a version and a tag of the
-cluster.  Imports `loop`, `errors` and the messages and types of `membership`; holds no decision.  Must not be
-imported by a decision module.
+Each datagram holds one message, encoded as MessagePack by `msgspec`, with a version and a tag of the cluster;
+it has at most 1,200 bytes.  The package imports `loop`, `errors` and the messages and types of `membership`.
+It makes no decisions and must not be imported by a decision module.
 """
--- a/ladderhub/peers/carrier.py
+++ b/ladderhub/peers/carrier.py
@@ -1,4 +1,4 @@
-"""Carries out the actions of the membership decisions: datagrams, one timer, reports.  Decides nothing."""
+"""Carries out the actions of the membership decisions: sends datagrams, sets a timer, reports changes."""
 
 from __future__ import annotations
 
@@ -27,24 +27,24 @@
 from ladderhub.revision.messages import Head, RevisionMessage
 from ladderhub.usage.traffic import UNREADABLE, Traffic
 
-SPOILT_REPORT_INTERVAL_NS = 1_000_000_000
-MAX_PARSED_ADDRESSES = 10_000  # kept; peers choose what addresses we are told of
-TellRevisions = Callable[[revision_types.Event, str], None]  # an event, and the name of the sender
-INVALID_ADDRESS = "address"  # the kind under which such an address is counted
+INVALID_REPORT_INTERVAL_NS = 1_000_000_000
+MAX_PARSED_ADDRESSES = 10_000  # size limit of the cache: peers choose which addresses we see
+TellRevisions = Callable[[revision_types.Event, str], None]  # gets an event and the name of its sender
+INVALID_ADDRESS = "address"  # kind under which invalid addresses are counted
 
 
 class PeerError(LadderhubError):
-    """The address for peers can't be had."""
+    """The UDP address for peers cannot be bound."""
 
     status, code = 1, SYSTEM
     remedy = "look who holds that UDP port on this host, or give `peers.listen` another address"
 
 
 class PeerCarrier:
-    """One scheduler's end among its peers.
+    """Connects the decisions of one scheduler to its peers over UDP; the `Carrier` of `ladderhub.board`.
 
-    `on_change` is called with each change of the view, `on_spoilt` once a second with what came and was no
-    message.  `PeerError` where the address can't be had."""
+    `on_change` is called with each change of the view, and `on_invalid` once a second with the counts of
+    invalid datagrams and addresses.  Raises `PeerError` if the address cannot be bound."""
 
     def __init__(
         self,
@@ -53,21 +53,21 @@
         cluster: str,
         view: MembershipView,
         on_change: Callable[[MemberChanged], None],
-        on_spoilt: Callable[[Spoilt], None],
+        on_invalid: Callable[[Spoilt], None],
         traffic: Traffic | None = None,
     ) -> None:
         self.loop, self.view = loop, view
         self.tally = Tally()
         self.traffic = traffic or Traffic()
         self._cluster_tag = cluster_tag(cluster)
-        self._on_change, self._on_spoilt = on_change, on_spoilt
-        self._tell_view: Callable[[Event], None] = _not_joined
-        self.tell_leases: Callable[[Event], None] | None = None  # where leases are used
+        self._on_change, self._on_invalid = on_change, on_invalid
+        self._tell_view: Callable[[Event], None] = _raise_not_joined
+        self.tell_leases: Callable[[Event], None] | None = None  # set if leases are used
         self.on_leases: Callable[[LeasesHeld], None] | None = None
         self.on_tick: Callable[[], None] | None = None
-        self.on_members: Callable[[], None] | None = None  # after the view has changed
+        self.on_members: Callable[[], None] | None = None  # called after the view has changed
         self.tell_revisions: TellRevisions | None = None
-        self.get_head: Callable[[], Head] | None = None  # rides on every frame
+        self.get_head: Callable[[], Head] | None = None  # its result is added to every frame
         self._members_changed = False
         self._tick_timer: Timer | None = None
         self._parsed_addresses: dict[str, Address] = {}
@@ -76,24 +76,24 @@
         except OSError as fault:
             where = "peers.listen: {}:{}".format(*address)
             raise PeerError(str(fault.strerror or fault), where=where) from None
-        self._spoilt_timer = loop.call_later(SPOILT_REPORT_INTERVAL_NS, self._report_spoilt)
+        self._report_timer = loop.call_later(INVALID_REPORT_INTERVAL_NS, self._report_invalid)
 
     def join(self, tell: Callable[[Event], None]) -> None:
-        """Begin: events go to `tell`, which brings them to the view."""
+        """Start.  Events are passed to `tell`, which delivers them to the view."""
         self._tell_view = tell
         tell(Tick())
 
     def _on_datagram(self, data: bytes, source: Address) -> None:
         frame = decode(data, self._cluster_tag)
-        self._count_in(frame, len(data))
+        self._count_received(frame, len(data))
         if isinstance(frame, FrameFault):
             self.tally.count(frame.value, "{}:{}".format(*source))
             return
-        self._pass_on(frame)
+        self._dispatch_frame(frame)
 
-    def _pass_on(self, frame: Frame) -> None:
+    def _dispatch_frame(self, frame: Frame) -> None:
         if self.tell_revisions is not None and frame.name != self.view.self_entry.name:
-            self._pass_on_revisions(frame, self.tell_revisions)
+            self._dispatch_to_revisions(frame, self.tell_revisions)
         message = frame.message
         if isinstance(message, RevisionMessage):
             return
@@ -103,7 +103,7 @@
         elif self.tell_leases is not None:
             self.tell_leases(received)
 
-    def _pass_on_revisions(self, frame: Frame, tell: TellRevisions) -> None:
+    def _dispatch_to_revisions(self, frame: Frame, tell: TellRevisions) -> None:
         if frame.head is not None:
             address = self.view.address_of(frame.name, frame.life)
             if address is not None:
@@ -112,12 +112,12 @@
             received = revision_types.MessageReceived(frame.name, frame.life, frame.message)
             tell(received, frame.name)
 
-    def _report_spoilt(self) -> None:
+    def _report_invalid(self) -> None:
         for row in self.tally.due(self.loop.now_ns()):
-            self._on_spoilt(row)
-        self._spoilt_timer = self.loop.call_later(SPOILT_REPORT_INTERVAL_NS, self._report_spoilt)
+            self._on_invalid(row)
+        self._report_timer = self.loop.call_later(INVALID_REPORT_INTERVAL_NS, self._report_invalid)
 
-    # --- as a carrier -----------------------------------------------------------------------------------
+    # --- interface of `Carrier` -------------------------------------------------------------------------
 
     def carry(self, now_ns: int, action: Action) -> None:
         if isinstance(action, SendMessage):
@@ -134,11 +134,12 @@
             self._on_change(action)
 
     def call_when_read(self, call: Callable[[], None]) -> None:
-        """Call once the datagrams that have come by now were heard: peers are judged by what they answered,
-        not by when this process got round to it."""
-        self.loop.call_when_read(self.datagrams.sock.fileno(), self._if_open, call)
+        """Call once the datagrams that have arrived by now are handled.
 
-    def _if_open(self, call: Callable[[], None]) -> None:
+        A late tick must not count answers as missing that are only unread."""
+        self.loop.call_when_read(self.datagrams.sock.fileno(), self._call_if_open, call)
+
+    def _call_if_open(self, call: Callable[[], None]) -> None:
         if self.datagrams.sock.fileno() >= 0:
             call()
 
@@ -154,12 +155,12 @@
             self.on_tick()
 
     def send(self, address: str, message: Message | RevisionMessage) -> None:
-        """Send one message in a frame of ours; it may be lost."""
+        """Send one message in a frame.  Delivery is not guaranteed."""
         sender, head = self.view.self_entry, self.get_head() if self.get_head is not None else None
         frame = Frame(
             VERSION, self._cluster_tag, sender.name, sender.life, sender.incarnation, message, head
         )  # fmt: skip
-        parsed = self._parse(address)
+        parsed = self._parse_address(address)
         if parsed is not None:
             data = encode(frame)
             count = self.traffic.of_message(message)
@@ -167,14 +168,14 @@
             count.bytes_out += len(data)
             self.datagrams.send(data, parsed)
 
-    def _count_in(self, frame: Frame | FrameFault, size: int) -> None:
+    def _count_received(self, frame: Frame | FrameFault, size: int) -> None:
         traffic = self.traffic
         count = traffic.of_message(frame.message) if isinstance(frame, Frame) else traffic.of(UNREADABLE)
         count.messages_in += 1
         count.bytes_in += size
 
-    def _parse(self, address: str) -> Address | None:
-        """Addresses come from peers: what is none is counted, and not sent to."""
+    def _parse_address(self, address: str) -> Address | None:
+        """Parse an address received from a peer.  An invalid one is counted and gives None."""
         if address not in self._parsed_addresses:
             if len(self._parsed_addresses) > MAX_PARSED_ADDRESSES:
                 self._parsed_addresses.clear()
@@ -186,16 +187,16 @@
         return self._parsed_addresses[address]
 
     def leave(self) -> None:
-        """Leave the group, and close the socket."""
+        """Leave the group and close the socket."""
         self._tell_view(Stop())
         self.close()
 
     def close(self) -> None:
-        for timer in (self._tick_timer, self._spoilt_timer):
+        for timer in (self._tick_timer, self._report_timer):
             if timer is not None:
                 timer.cancel()
         self.datagrams.close()
 
 
-def _not_joined(event: Event) -> None:
-    raise RuntimeError("the carrier has not joined")
+def _raise_not_joined(event: Event) -> None:
+    raise RuntimeError("an event was passed on before join() was called")
--- a/ladderhub/peers/wire.py
+++ b/ladderhub/peers/wire.py
@@ -1,6 +1,4 @@
-"""Frames: the sender, its cluster, one message, and the head of its revisions.
-
-Bytes in, a frame or the kind of fault out."""
+"""Encodes and decodes frames: the sender, its cluster, one message, and the head of its revisions."""
 
 from __future__ import annotations
 
@@ -13,11 +11,11 @@
 from ladderhub.revision.messages import Head, RevisionMessage
 
 VERSION = 1
-MAX_DATAGRAM_BYTES = 1200  # below what any path carries whole
+MAX_DATAGRAM_BYTES = 1200  # small enough to avoid fragmentation on any path
 
 
 class FrameFault(StrEnum):
-    """Why a datagram is no frame of ours.  The values stand in the log."""
+    """Why a datagram is rejected.  The values are written to the log."""
 
     OVERSIZED = "oversized"
     FOREIGN_CLUSTER = "foreign cluster"
@@ -26,10 +24,11 @@
 
 
 class Frame(msgspec.Struct, frozen=True, array_like=True):
-    """`cluster` is a tag of the cluster's name: fleets that share a network do not mix by mistake.
+    """One message and its sender.
 
-    `head`: the newest revision that the sender knows; None where its fleet has no voters, and from older
-    schedulers."""
+    `cluster` is a hash of the cluster's name, so that clusters on the same network do not mix by mistake.
+    `head` is the newest revision that the sender knows.  It is None if the cluster has no voters, if the
+    datagram has no room for it, and from older schedulers."""
 
     version: int
     cluster: int
@@ -41,7 +40,7 @@
 
 
 class _Header(msgspec.Struct, array_like=True):
-    """The part that all versions share."""
+    """The part of a frame that all versions share."""
 
     version: int
     cluster: int
@@ -58,32 +57,32 @@
 
 
 def encode(frame: Frame) -> bytes:
-    """The datagram, without the head where there is no room for it.
+    """Encode a frame, without the head if there is no room for it.
 
-    ValueError where it would be too long all the same: a fault of ours, since messages are bounded."""
+    Raises ValueError if it is still too long.  That is a programming error, because messages are bounded."""
     data = _ENCODER.encode(frame)
     if len(data) > MAX_DATAGRAM_BYTES and frame.head is not None:
         data = _ENCODER.encode(msgspec.structs.replace(frame, head=None))
     if len(data) > MAX_DATAGRAM_BYTES:
-        raise ValueError(f"a datagram of {len(data)} bytes; at most {MAX_DATAGRAM_BYTES} may be")
+        raise ValueError(f"datagram has {len(data)} bytes; at most {MAX_DATAGRAM_BYTES} are allowed")
     return data
 
 
 def decode(data: bytes, cluster: int) -> Frame | FrameFault:
-    """The frame, or what is wrong with the datagram."""
+    """Decode a datagram; return the frame, or why the datagram is rejected."""
     if len(data) > MAX_DATAGRAM_BYTES:
         return FrameFault.OVERSIZED
     try:
         frame = _FRAME_DECODER.decode(data)
     except _DECODING_ERRORS:
-        return _fault_of(data, cluster)
+        return _classify_fault(data, cluster)
     if frame.version != VERSION:
         return FrameFault.OTHER_VERSION
     return frame if frame.cluster == cluster else FrameFault.FOREIGN_CLUSTER
 
 
-def _fault_of(data: bytes, cluster: int) -> FrameFault:
-    """What the header tells of a datagram that can't be decoded."""
+def _classify_fault(data: bytes, cluster: int) -> FrameFault:
+    """Find out from the header why a datagram cannot be decoded."""
     try:
         header = _HEADER_DECODER.decode(data)
     except _DECODING_ERRORS:
--- a/tests/membership/test_parts.py
+++ b/tests/membership/test_parts.py
@@ -6,7 +6,7 @@
 from itertools import permutations, product
 
 from ladderhub.membership import MessageReceived, MemberSettings, Tick, MembershipView
-from ladderhub.membership.gossip import Gossip, pack_entries, entry_size
+from ladderhub.membership.gossip import Gossip, pack_entries, estimate_entry_size
 from ladderhub.membership.messages import Ack, Entry, Message, SyncEntries, Ping, IndirectProbe, Status
 from ladderhub.membership.rings import RINGS, Rings
 from ladderhub.membership.table import MAX_ENTRIES, MemberTable, member_id, overrides
@@ -25,21 +25,23 @@
     members = [(f"s{at}", at) for at in range(200)]
     for member in members:
         rings.add(member)
-    watched = Counter(each for member in members for each in rings.subjects(member))
+    watched = Counter(each for member in members for each in rings.find_subjects(member))
     assert set(watched) == set(members) and 4 <= min(watched.values()) <= max(watched.values()) <= 8
-    mutual = sum(member in rings.observers(each) for member in members for each in rings.subjects(member))
+    mutual = sum(
+        member in rings.find_observers(each) for member in members for each in rings.find_subjects(member)
+    )
     assert mutual >= 0.95 * RINGS * len(members)
     rings.remove(members[7])
-    assert all(members[7] not in rings.subjects(member) for member in members)
+    assert all(members[7] not in rings.find_subjects(member) for member in members)
 
 
 def test_one_beside_the_rings_has_those_observers_that_it_would_have_inside() -> None:
     rings = Rings()
     for at in range(50):
         rings.add((f"s{at}", at))
-    before = rings.observers(("new", 1))
+    before = rings.find_observers(("new", 1))
     rings.add(("new", 1))
-    assert rings.observers(("new", 1)) == before
+    assert rings.find_observers(("new", 1)) == before
 
 
 def test_entries_merge_in_any_order_any_number_of_times() -> None:
@@ -87,7 +89,7 @@
         messages.append(Ping((1 << 31) - 1, (1 << 63) - 1, 4096, gossip.take(100, long[0])))
     for message in [*messages, IndirectProbe(1, long[0]), Ack(1, 1, 1, (long[0],))]:
         assert len(encode(Frame(VERSION, 1 << 31, "n" * 64, 1 << 62, 1 << 30, message))) <= 1200
-    assert sum(map(len, pack_entries(long))) == 100 and all(entry_size(each) > 80 for each in long)
+    assert sum(map(len, pack_entries(long))) == 100 and all(estimate_entry_size(each) > 80 for each in long)
 
 
 def test_news_told_least_go_first_and_end() -> None:
--- a/tests/peers/test_peer_service.py
+++ b/tests/peers/test_peer_service.py
@@ -86,7 +86,7 @@
     daemon, service = start(world, "alpha", address, [address])
     told: list[Any] = []
     assert service._carrier is not None
-    service._carrier._on_spoilt = told.append
+    service._carrier._on_invalid = told.append
     host, port = address.split(":")
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         for data in (
