--- a/tests/membership/test_leases.py
+++ b/tests/membership/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases: a bounded exhaustive check, random schedules, planted faults that both must find, shares."""
+"""Leases: a bounded exhaustive check, random schedules, planted faults that both must find, fair shares."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 from ladderhub.peers.wire import VERSION, Frame, encode
 
 
-def test_no_schedule_of_few_faults_gives_a_slot_two_holders() -> None:
+def test_every_schedule_with_one_fault_gives_each_slot_at_most_one_holder() -> None:
     found = exhaustive(4, faults=1)
     assert not found.broken, (found.broken, found.schedule)
     assert found.schedules == 1 + 4 * len(list(faults_of(0))) == 157
 
 
-def test_random_schedules_of_many_faults_give_no_slot_two_holders() -> None:
+def test_random_schedules_with_many_faults_give_each_slot_at_most_one_holder() -> None:
     found = at_random(250, seed=11)
     assert not found.broken, (found.broken, found.schedule)
 
 
 class OneVote(LeaseHolder):
-    """One vote is enough."""
+    """Planted fault: one vote counts as a majority."""
 
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
@@ -41,7 +41,7 @@
 
 
 class NoSilence(LeaseHolder):
-    """A voter that starts anew grants at once."""
+    """Planted fault: a restarted voter grants at once."""
 
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
@@ -50,7 +50,7 @@
 
 
 class FromReceipt(LeaseHolder):
-    """The lease counts from the grant, not from the request."""
+    """Planted fault: the lease runs from the grant instead of the request."""
 
     def _on_grant(self, now: int, grant: LeaseGrant) -> None:
         if grant.number in self._rounds:
@@ -58,21 +58,21 @@
         super()._on_grant(now, grant)
 
 
-class NoRest(LeaseHolder):
-    """A slot is used as soon as it is held."""
+class NoQuarantine(LeaseHolder):
+    """Planted fault: a slot is used as soon as it is held."""
 
     def get_usable_leases(self, now: int) -> LeasesHeld:
         slots = tuple(self.get_held_slots(now))
         return LeasesHeld(slots, min((self._expires_ns[slot] for slot in slots), default=-1))
 
 
-@pytest.mark.parametrize("planted", [OneVote, NoSilence, FromReceipt, NoRest])
+@pytest.mark.parametrize("planted", [OneVote, NoSilence, FromReceipt, NoQuarantine])
 def test_a_planted_fault_is_found(planted: type[LeaseHolder]) -> None:
     assert at_random(1500, 1, planted).broken
 
 
-class Generous(LeaseHolder):
-    """A voter that grants what another still holds."""
+class GrantsHeldSlots(LeaseHolder):
+    """Planted fault: a voter grants slots that another holder still has."""
 
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
@@ -81,11 +81,11 @@
 
 
 def test_the_exhaustive_check_finds_a_planted_fault_too() -> None:
-    found = exhaustive(4, Generous, faults=1)
+    found = exhaustive(4, GrantsHeldSlots, faults=1)
     assert found.broken and isinstance(found.schedule[0], Fault)
 
 
-def test_with_no_faults_every_slot_has_a_holder() -> None:
+def test_without_faults_every_slot_has_a_holder() -> None:
     world = prepared()
     for _ in range(30):
         world.step([])
@@ -98,7 +98,7 @@
     return LeaseHolder(LeaseSettings(**(given | {"slots": slots, "voters": voters} | changes)), 1, 0)
 
 
-def test_one_alone_takes_all_slots_after_a_lease_and_a_window_and_gives_them_up_as_others_come() -> None:
+def test_a_single_member_takes_all_slots_after_lease_and_window_and_releases_some_for_new_members() -> None:
     alone = holder()
     first = None
     for now in range(0, 300):
@@ -112,7 +112,7 @@
     assert alone.get_usable_leases(400).slots == ()
 
 
-def test_while_the_view_is_unsure_no_slot_is_used_and_after_it_only_what_was_granted_since() -> None:
+def test_with_an_unconfirmed_view_no_slot_is_used_and_afterwards_only_slots_granted_since() -> None:
     alone = holder()
     for now in range(0, 200):
         alone.handle(now, MembershipSummary(1, 0, True))
@@ -125,7 +125,7 @@
     assert len(alone.get_usable_leases(239).slots) == 7
 
 
-def test_no_answer_of_voters_means_no_slot() -> None:
+def test_without_a_majority_of_voters_no_slot_is_held() -> None:
     cut = holder(("b:1", "c:1", "d:1"))
     for now in range(0, 500):
         cut.handle(now, MembershipSummary(1, 0, True))
@@ -134,7 +134,7 @@
     assert cut.get_usable_leases(500).slots == () and cut.get_held_slots(500) == []
 
 
-def test_slots_and_their_encoding_are_one_to_one() -> None:
+def test_decoding_returns_the_encoded_slots_and_ignores_invalid_ones() -> None:
     for count in (7, 1024, 4096):
         for wanted in (set(), {0}, {6}, {0, 3, 6}, {count - 1}, set(range(count)), set(range(0, count, 2))):
             assert decode_slots(encode_slots(wanted, count), count) == wanted
@@ -154,12 +154,12 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "said"),
+    ("changes", "field"),
     [({"slots": 0}, "slots"), ({"slots": 5000}, "slots"), ({"voters": ()}, "voters"),
      ({"voters": ("a:1", "a:1")}, "voters"), ({"lease_ns": 0}, "lease_ns")],
 )  # fmt: skip
-def test_settings_of_leases_that_make_no_sense_are_told(changes: dict[str, Any], said: str) -> None:
-    with pytest.raises(ValueError, match=said):
+def test_invalid_lease_settings_are_rejected_by_field(changes: dict[str, Any], field: str) -> None:
+    with pytest.raises(ValueError, match=field):
         holder(**changes)
 
 
--- a/tests/membership/test_parts.py
+++ b/tests/membership/test_parts.py
@@ -1,4 +1,4 @@
-"""Rings, tables and news by themselves: what enumeration can show is enumerated."""
+"""Rings, member tables and gossip one by one, with enumeration of all cases where that is possible."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
     return Entry(name, life, f"10.0.0.{sum(map(ord, name)) % 250}:7000", incarnation, status)
 
 
-def test_watches_are_mutual_and_spread_evenly() -> None:
+def test_observers_and_subjects_match_and_are_spread_evenly() -> None:
     rings = Rings()
     members = [(f"s{at}", at) for at in range(200)]
     for member in members:
         rings.add(member)
-    watched = Counter(each for member in members for each in rings.find_subjects(member))
-    assert set(watched) == set(members) and 4 <= min(watched.values()) <= max(watched.values()) <= 8
+    observed = Counter(each for member in members for each in rings.find_subjects(member))
+    assert set(observed) == set(members) and 4 <= min(observed.values()) <= max(observed.values()) <= 8
     mutual = sum(
         member in rings.find_observers(each) for member in members for each in rings.find_subjects(member)
     )
@@ -35,7 +35,7 @@
     assert all(members[7] not in rings.find_subjects(member) for member in members)
 
 
-def test_one_beside_the_rings_has_those_observers_that_it_would_have_inside() -> None:
+def test_a_non_member_has_the_observers_that_it_would_have_as_a_member() -> None:
     rings = Rings()
     for at in range(50):
         rings.add((f"s{at}", at))
@@ -45,14 +45,16 @@
 
 
 def test_entries_merge_in_any_order_any_number_of_times() -> None:
-    words = [entry(incarnation=incarnation, status=status) for incarnation, status in product((0, 1), Status)]
+    entries = [
+        entry(incarnation=incarnation, status=status) for incarnation, status in product((0, 1), Status)
+    ]
     ends = set()
-    for order in permutations(words, 4):
+    for order in permutations(entries, 4):
         table = MemberTable()
-        for word in (*order, order[0]):
-            old = table.get(member_id(word))
-            if old is None or overrides(word, old):
-                table.put(0, word)
+        for reported in (*order, order[0]):
+            old = table.get(member_id(reported))
+            if old is None or overrides(reported, old):
+                table.put(0, reported)
         best = max(order, key=lambda each: (each.status is Status.LEFT, each.incarnation, each.status))
         kept = table.get(("a", 1))
         assert kept == best
@@ -63,8 +65,8 @@
     assert len(ends) > 3
 
 
-def test_the_members_are_bounded_whoever_sends_them() -> None:
-    # Guards against a sender that invents members until memory is gone.
+def test_the_number_of_entries_is_bounded() -> None:
+    # Guards against a sender that exhausts memory by inventing members.
     view = MembershipView(MemberSettings("me", 5, "10.9.9.9:1"), 1)
     view.handle(S, Tick())
     for at in range(MAX_ENTRIES // 40 + 30):
@@ -76,7 +78,7 @@
     assert len(view.context.table.entries) <= 2 * MAX_ENTRIES
 
 
-def test_every_message_fits_a_datagram_whatever_is_in_it() -> None:
+def test_every_message_fits_into_a_datagram() -> None:
     long = [
         Entry("n" * 60 + str(at), (1 << 62) + at, f"255.255.255.{at}:65535", (1 << 31) - 1, Status.GONE)
         for at in range(100)
@@ -92,7 +94,7 @@
     assert sum(map(len, pack_entries(long))) == 100 and all(estimate_entry_size(each) > 80 for each in long)
 
 
-def test_news_told_least_go_first_and_end() -> None:
+def test_least_transmitted_gossip_goes_first_and_is_dropped_after_its_last_transmission() -> None:
     gossip = Gossip()
     for at in range(60):
         gossip.add(entry(f"m{at:02}"))
@@ -105,15 +107,16 @@
     assert [each.incarnation for each in gossip.take(16)] == [1]
 
 
-def test_a_stranger_gets_no_more_said_than_it_says() -> None:
-    # Guards against being used to flood others: each message from a stranger calls for one or two at most.
+def test_messages_of_a_non_member_cause_few_messages() -> None:
+    # Guards against amplification: a non-member must not use us to flood others.  Each message that it sends
+    # causes one answer, plus at most two notices.
     view = MembershipView(MemberSettings("me", 5, "10.9.9.9:1"), 1)
     view.handle(S, Tick())
     known = Entry("a", 9, "10.0.0.1:1", 0, Status.ALIVE)
     view.handle(S, MessageReceived("a", 9, 0, Ping(1, 0, 1, (known,))))
-    said = 0
+    sent = 0
     for at in range(200):
         claim = Entry("a", 3, "10.0.0.2:1", 0, Status.ALIVE)
         out = view.handle(S + at, MessageReceived("b", 1, 0, Ping(at, 0, 1, (claim,))))
-        said += sum(isinstance(action, SendMessage) for action in out)
-    assert said <= 2 + 200
+        sent += sum(isinstance(action, SendMessage) for action in out)
+    assert sent <= 2 + 200
--- a/tests/peers/test_late_ticks.py
+++ b/tests/peers/test_late_ticks.py
@@ -1,4 +1,4 @@
-"""A peer's answer that lies unread as its time runs out is heard before the time is judged."""
+"""Guards against peers that are considered silent although their answers have arrived, but are unread."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 MS = 1_000_000
 
 
-def test_a_datagram_that_came_in_time_is_heard_before_the_tick_that_judges_it() -> None:
+def test_a_datagram_that_arrived_in_time_is_handled_before_a_late_tick() -> None:
     clock = ManualClock()
     loop = Loop(clock)
     view = MembershipView(MemberSettings("a", 5, "127.0.0.1:1"), 1)
     carrier = PeerCarrier(loop, ("127.0.0.1", 0), "north", view, print, print)
-    told: list[Event] = []
-    carrier.join(told.append)
-    told.clear()
+    handled: list[Event] = []
+    carrier.join(handled.append)
+    handled.clear()
     busy, writer = socket.socketpair()
 
-    def burn(_: int) -> None:
+    def block(_: int) -> None:
         busy.recv(1)
-        clock.advance(20 * MS)  # longer than a round may take: the datagram is left to the next one
+        clock.advance(20 * MS)  # longer than the limit of a round, so the datagram is read in the next one
 
-    loop.watch(busy.fileno(), READ, burn, first=True)
+    loop.watch(busy.fileno(), READ, block, first=True)
     carrier.carry(clock.now_ns(), WakeAt(10 * MS))
     writer.send(b"x")
     frame = Frame(VERSION, cluster_tag("north"), "b", 7, 0, Ping(1, 2, 3, ()))
@@ -37,7 +37,7 @@
         peer.sendto(encode(frame), carrier.datagrams.address)
     for _ in range(4):
         loop.turn(MS)
-    assert [type(event) for event in told] == [MessageReceived, Tick]
+    assert [type(event) for event in handled] == [MessageReceived, Tick]
     carrier.close()
     loop.close()
     busy.close()
--- a/tests/peers/test_peer_service.py
+++ b/tests/peers/test_peer_service.py
@@ -1,4 +1,4 @@
-"""The peers part of the daemon, on one loop: what operators see, what the spool keeps, what is refused."""
+"""The peer service of the daemon on one loop: what operators see, what is stored, and what is rejected."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
     return sorted(entry.name for entry in service.view.members())
 
 
-def test_schedulers_find_each_other_and_say_so_in_status_and_metrics(world: World) -> None:
+def test_schedulers_find_each_other_and_show_it_in_status_and_metrics(world: World) -> None:
     addresses = [free_address(), free_address()]
     electors = {"electors": addresses[:1], "lease": "1200ms"}
     _, one = start(world, "alpha", addresses[0], addresses, **electors)
@@ -63,7 +63,7 @@
     assert (row.get("members"), row.get("membership")) == ("alpha, beta", "sure")
     page = daemon.metrics.page()[2].decode()
     assert "ladderhub_members 2.0" in page and "ladderhub_membership_sure 1.0" in page
-    # Each holds its half once the voter has been silent for a lease, and the module goes by that.
+    # The voter grants nothing for the first lease; then each scheduler holds half, and the module uses it.
     leases = (one.leases, two.leases)
     world.until(
         lambda: all(each and len(each.get_usable_leases(world.loop.now_ns()).slots) == 1 for each in leases),
@@ -74,19 +74,19 @@
     world.until(lambda: daemon.module.rules.ordinals == held[1])
     daemon.close()
     world.daemons.pop("beta")
-    world.until(lambda: names(one) == ["alpha"])  # it took its leave: no wait for silence
+    world.until(lambda: names(one) == ["alpha"])  # it left the group: no wait for silence
     world.until(
         lambda: one.leases is not None and len(one.leases.get_usable_leases(world.loop.now_ns()).slots) == 2,
         30,
     )
 
 
-def test_what_comes_spoilt_is_counted_and_told_and_harms_nothing(world: World) -> None:
+def test_invalid_datagrams_are_counted_and_reported_and_have_no_other_effect(world: World) -> None:
     address = free_address()
     daemon, service = start(world, "alpha", address, [address])
-    told: list[Any] = []
+    reported: list[Any] = []
     assert service._carrier is not None
-    service._carrier._on_invalid = told.append
+    service._carrier._on_invalid = reported.append
     host, port = address.split(":")
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         for data in (
@@ -97,13 +97,13 @@
         ):
             for _ in range(5):
                 sock.sendto(data, (host, int(port)))
-        world.until(lambda: sum(row.count for row in told) == 20)
-    assert {row.kind for row in told} == {"spoilt", "oversized"}
+        world.until(lambda: sum(row.count for row in reported) == 20)
+    assert {row.kind for row in reported} == {"spoilt", "oversized"}
     assert "ladderhub_peer_datagrams_spoilt 20.0" in daemon.metrics.page()[2].decode()
     assert not world.troubles
 
 
-def test_the_spool_gives_each_life_a_higher_number_also_with_a_clock_set_back(tmp_path: Path) -> None:
+def test_each_life_gets_a_higher_number_from_the_spool_even_if_the_clock_was_set_back(tmp_path: Path) -> None:
     (tmp_path / "peers.json").write_text(json.dumps({"life": 1 << 62, "peers": ["127.0.0.1:9"]}))
     first = PeerStateFile(tmp_path)
     assert first.life == (1 << 62) + 1 and first.peers == ["127.0.0.1:9"]
@@ -113,7 +113,7 @@
         PeerStateFile(tmp_path)
 
 
-def test_an_address_for_peers_that_is_taken_is_told_by_field(world: World) -> None:
+def test_a_peer_address_in_use_is_reported_with_its_field(world: World) -> None:
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         sock.bind(("127.0.0.1", 0))
         address = f"127.0.0.1:{sock.getsockname()[1]}"
@@ -127,8 +127,8 @@
     assert service.leases is None and daemon.module.rules.lent_until_ns is None
 
 
-def test_an_unsure_view_uses_no_slot(world: World) -> None:
-    # Guards against slots that are used by one that stood still and has heard nobody since.
+def test_with_an_unconfirmed_view_no_slot_is_used(world: World) -> None:
+    # Guards against a scheduler that uses slots after a pause, before it has heard any peer again.
     address = free_address()
     daemon, service = start(world, "alpha", address, [address], electors=[address], lease="1200ms")
     leases = service.leases
@@ -139,7 +139,7 @@
 
 
 @pytest.mark.parametrize(
-    ("peers", "said"),
+    ("peers", "message"),
     [
         ({"listen": "nowhere", "seeds": []}, "peers.listen: found 'nowhere'; HOST:PORT is meant"),
         ({"listen": "127.0.0.1:1", "seeds": ["x"]}, r"peers.seeds\[0\]"),
@@ -151,9 +151,11 @@
         ({"seeds": []}, "peers"),
     ],
 )
-def test_bad_settings_of_peers_are_one_message_that_names_the_field(peers: dict[str, Any], said: str) -> None:
+def test_invalid_peer_settings_are_reported_in_one_message_with_the_field(
+    peers: dict[str, Any], message: str
+) -> None:
     value = SETTINGS | {
         "server": "a", "listen": "127.0.0.1:1", "directory": "127.0.0.1:2", "spool": "s", "peers": peers,
     }  # fmt: skip
-    with pytest.raises(SettingsError, match=said):
+    with pytest.raises(SettingsError, match=message):
         check(value, "file")
