--- a/ladderhub/peers/carrier.py
+++ b/ladderhub/peers/carrier.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from ladderhub.errors.base import SYSTEM, LadderhubError
-from ladderhub.errors.tally import Spoilt, Tally
+from ladderhub.errors.tally import MalformedInputCount, MalformedInputTally
 from ladderhub.loop import Loop, Timer, parse_address
 from ladderhub.loop.datagram import Datagrams
 from ladderhub.loop.stream import Address
@@ -41,7 +41,7 @@
 
 
 class PeerCarrier:
-    """Connects the decisions of one scheduler to its peers over UDP; the `Carrier` of `ladderhub.board`.
+    """Connects the membership decisions to the peers over UDP; an `ActionExecutor` of `ladderhub.dispatcher`.
 
     `on_change` is called with each change of the view, and `on_invalid` once a second with the counts of
     invalid datagrams and addresses.  Raises `PeerError` if the address cannot be bound."""
@@ -53,11 +53,11 @@
         cluster: str,
         view: MembershipView,
         on_change: Callable[[MemberChanged], None],
-        on_invalid: Callable[[Spoilt], None],
+        on_invalid: Callable[[MalformedInputCount], None],
         traffic: Traffic | None = None,
     ) -> None:
         self.loop, self.view = loop, view
-        self.tally = Tally()
+        self.tally = MalformedInputTally()
         self.traffic = traffic or Traffic()
         self._cluster_tag = cluster_tag(cluster)
         self._on_change, self._on_invalid = on_change, on_invalid
@@ -113,13 +113,13 @@
             tell(received, frame.name)
 
     def _report_invalid(self) -> None:
-        for row in self.tally.due(self.loop.now_ns()):
+        for row in self.tally.take_due(self.loop.now_ns()):
             self._on_invalid(row)
         self._report_timer = self.loop.call_later(INVALID_REPORT_INTERVAL_NS, self._report_invalid)
 
-    # --- interface of `Carrier` -------------------------------------------------------------------------
+    # --- as an `ActionExecutor` -------------------------------------------------------------------------
 
-    def carry(self, now_ns: int, action: Action) -> None:
+    def execute(self, now_ns: int, action: Action) -> None:
         if isinstance(action, SendMessage):
             self.send(action.address, action.message)
         elif isinstance(action, WakeAt):
@@ -146,7 +146,7 @@
     def _tick(self) -> None:
         self._tell_view(Tick())
 
-    def after(self, event: Event) -> None:
+    def on_handled(self, event: Event) -> None:
         if self._members_changed:
             self._members_changed = False
             if self.on_members is not None:
--- a/ladderhub/server/placing.py
+++ b/ladderhub/server/placing.py
@@ -29,11 +29,11 @@
 
     # --- what others want placed ----------------------------------------------------------------------------
 
-    def ask(self, now: int, record: JobRecord, action: own.Ask) -> None:
+    def ask(self, now: int, record: JobRecord, action: own.RequestPlacement) -> None:
         """Hand one ask of the job to the module, in place of an earlier one."""
         self.leave(record)
-        task = self._site.runs.new_task(record, action.ask, now + action.budget_ns)
-        event = self._asked_event(record, task, action.budget_ns, action.came_again, action.effect)
+        task = self._site.runs.new_task(record, action.request_id, now + action.budget_ns)
+        event = self._asked_event(record, task, action.budget_ns, action.is_retry, action.effect)
         self._site.tell_module(event)
 
     def adopt(self, now: int, record: JobRecord, ask: int, run: int, machine: str) -> None:
@@ -79,7 +79,7 @@
 
     # --- what the module decides ----------------------------------------------------------------------------
 
-    def carry(self, now: int, action: api.Action) -> None:
+    def execute(self, now: int, action: api.Action) -> None:
         # Also where a list or a lease made the decision: what it leads to is work on jobs.
         self._site.processor.run(Cause.JOBS, self._carry, now, action)
 
@@ -93,7 +93,7 @@
                 asked = self._site.runs.tasks.get(task)
                 if asked is not None:
                     failed = isinstance(action, api.Fail)
-                    self._site.tell_owner(own.TurnedAway(asked.record.number, asked.ask, failed))
+                    self._site.tell_owner(own.PlacementRejected(asked.record.number, asked.ask, failed))
             case api.Abort(task, attempt):
                 for out in self._site.runs.of_task(task):
                     if out.attempt == attempt and out.call is not None:
@@ -107,7 +107,7 @@
             case _:
                 self._site.log.debug("not carried out", action=type(action).__name__)
 
-    def after(self, event: api.Event) -> None:
+    def on_handled(self, event: api.Event) -> None:
         if isinstance(event, api.TaskWithdrawn):
             self._site.runs.tasks.pop(event.task, None)
         elif isinstance(event, api.SettingsChanged):
@@ -173,9 +173,9 @@
         )  # fmt: skip
         if result.outcome in NEVER_RAN:
             self._site.runs.forget(record.number, run)
-            self._site.tell_owner(own.Unsent(record.number, run, text))
+            self._site.tell_owner(own.NeverRan(record.number, run, text))
         else:
-            self._site.tell_owner(own.Doubtful(record.number, run, text))
+            self._site.tell_owner(own.InDoubt(record.number, run, text))
         self.tell_end(out, result.outcome, result.reason, concluded=False)
 
     def tell_end(self, out: OutRun, outcome: api.Outcome, reason: api.Reason, concluded: bool) -> None:
--- a/tests/peers/test_late_ticks.py
+++ b/tests/peers/test_late_ticks.py
@@ -30,7 +30,7 @@
         clock.advance(20 * MS)  # longer than the limit of a round, so the datagram is read in the next one
 
     loop.watch(busy.fileno(), READ, block, first=True)
-    carrier.carry(clock.now_ns(), WakeAt(10 * MS))
+    carrier.execute(clock.now_ns(), WakeAt(10 * MS))
     writer.send(b"x")
     frame = Frame(VERSION, cluster_tag("north"), "b", 7, 0, Ping(1, 2, 3, ()))
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as peer:
--- a/tests/peers/test_peer_service.py
+++ b/tests/peers/test_peer_service.py
@@ -124,7 +124,7 @@
 def test_without_electors_the_module_keeps_its_ordinal(world: World) -> None:
     address = free_address()
     daemon, service = start(world, "alpha", address, [address])
-    assert service.leases is None and daemon.module.rules.lent_until_ns is None
+    assert service.leases is None and daemon.module.rules.lease_until_ns is None
 
 
 def test_with_an_unconfirmed_view_no_slot_is_used(world: World) -> None:
@@ -132,7 +132,7 @@
     address = free_address()
     daemon, service = start(world, "alpha", address, [address], electors=[address], lease="1200ms")
     leases = service.leases
-    assert leases is not None and daemon.module.rules.lent_until_ns == -1
+    assert leases is not None and daemon.module.rules.lease_until_ns == -1
     world.until(lambda: len(leases.get_usable_leases(world.loop.now_ns()).slots) == 2, 30)
     service.view.confirmed = False
     world.until(lambda: daemon.module.rules.ordinals == ())
