--- a/ladderhub/lab/scale/hollow_schedulers.py
+++ b/ladderhub/lab/scale/hollow_schedulers.py
@@ -24,7 +24,7 @@
 from ladderhub.loop import Loop
 from ladderhub.membership import LeaseHolder, LeaseSettings, MemberSettings, MembershipView
 from ladderhub.membership.types import MembershipSummary, Stop
-from ladderhub.peers.carrier import PeerCarrier, PeerError
+from ladderhub.peers.transport import PeerTransport, PeerError
 from ladderhub.peers.revisions import RevisionCarrier
 from ladderhub.revision import Notice, Record, Revision, Revisions, RevisionSettings
 from ladderhub.revision.types import Outcome
@@ -128,12 +128,12 @@
             span_ns(plan.period, "period"),
         )  # fmt: skip
         self.view = MembershipView(member, identity.seed)
-        self.carrier = PeerCarrier(
+        self.transport = PeerTransport(
             loop, identity.address, plan.cluster, self.view, lambda change: None, lambda row: None, traffic
         )
         self._dispatcher = EventDispatcher(loop.now_ns, self._on_fault)
         self.leases = LeaseHolder(self._lease_settings(), identity.seed, loop.now_ns())
-        self._tell_leases = self._dispatcher.register(self.leases, self.carrier)
+        self._tell_leases = self._dispatcher.register(self.leases, self.transport)
         self.follower = RevisionFollower()
 
     def _lease_settings(self) -> LeaseSettings:
@@ -146,9 +146,9 @@
 
     def start(self) -> None:
         """Join the group."""
-        self.carrier.tell_leases = self._tell_leases
-        self.carrier.on_tick = self._on_tick
-        self.carrier.join(self._dispatcher.register(self.view, self.carrier))
+        self.transport.tell_leases = self._tell_leases
+        self.transport.on_tick = self._on_tick
+        self.transport.join(self._dispatcher.register(self.view, self.transport))
         self._start_revisions()
 
     def _start_revisions(self) -> None:
@@ -157,7 +157,7 @@
             identity.name, identity.life, identity.advertise, tuple(plan.electors), NO_POLICY
         )
         revisions = Revisions(settings, None, identity.seed)
-        self._revision_carrier = RevisionCarrier(self.carrier, revisions, self.follower)
+        self._revision_carrier = RevisionCarrier(self.transport, revisions, self.follower)
         self._revision_carrier.join(self._dispatcher.register(revisions, self._revision_carrier))
 
     def _on_tick(self) -> None:
@@ -173,7 +173,7 @@
         """Release what is held and leave the group."""
         self._revision_carrier.close()
         self._tell_leases(Stop())
-        self.carrier.leave()
+        self.transport.leave()
 
 
 class HollowFleet:
@@ -216,7 +216,7 @@
             members_seen=MembersSeen(min(seen), sum(seen) / len(seen), max(seen)),
             leases_held=sum(len(member.leases.get_held_slots(now)) for member in self.members),
             revision_least=min((member.follower.active for member in self.members), default=0),
-            datagrams_unsent=sum(member.carrier.datagrams.unsent for member in self.members),
+            datagrams_unsent=sum(member.transport.datagrams.unsent for member in self.members),
             troubles=sum(member.troubles for member in self.members),
             counted=counted,
             member_mean=counted.divided(max(1, len(self.members))),
--- a/ladderhub/peers/revisions.py
+++ b/ladderhub/peers/revisions.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from ladderhub.loop import Timer
-from ladderhub.peers.carrier import PeerCarrier
+from ladderhub.peers.transport import PeerTransport
 from ladderhub.revision import (
     Activate, Answer, CheckBody, HeadSeen, Hold, MembersChanged, Notify, Record, Resume, Revision, Revisions,
     Send, Store, Tick, WakeAt,
@@ -49,7 +49,7 @@
     Nothing that follows a record that could not be kept is done before it is kept: messages are dropped,
     as if the network had lost them, and all else waits."""
 
-    def __init__(self, peers: PeerCarrier, revisions: Revisions, host: RevisionHost) -> None:
+    def __init__(self, peers: PeerTransport, revisions: Revisions, host: RevisionHost) -> None:
         self._peers, self._revisions, self._host = peers, revisions, host
         self._tell: Callable[[Event], None] = _not_joined
         self.heads: dict[str, tuple[Head, int]] = {}  # by member: the last that it sent, and when
--- a/ladderhub/peers/carrier.py
+++ b/ladderhub/peers/transport.py
@@ -40,7 +40,7 @@
     remedy = "look who holds that UDP port on this host, or give `peers.listen` another address"
 
 
-class PeerCarrier:
+class PeerTransport:
     """Connects the membership decisions to the peers over UDP; an `ActionExecutor` of `ladderhub.dispatcher`.
 
     `on_change` is called with each change of the view, and `on_invalid` once a second with the counts of
--- a/ladderhub/server/peers.py
+++ b/ladderhub/server/peers.py
@@ -22,7 +22,7 @@
 )
 from ladderhub.membership.types import Change, Event
 from ladderhub.pbs.batch import Attr
-from ladderhub.peers.carrier import PeerCarrier
+from ladderhub.peers.transport import PeerTransport
 from ladderhub.server.lasting import SpoolError, write_lasting
 from ladderhub.server.settings import PeerSettings
 from ladderhub.server.site import Site
@@ -69,7 +69,7 @@
         self.view = MembershipView(self._member_settings(), site.settings.file.seed)
         self.leases: LeaseHolder | None = None
         self._tell_leases: Callable[[Event | MembershipSummary], None] | None = None
-        self._carrier: PeerCarrier | None = None
+        self._transport: PeerTransport | None = None
         self._closed = False
         self._add_gauges()
         site.status_rows.append(self.status_rows)
@@ -94,10 +94,10 @@
         return self.view.confirmed and self.view.yielded_to is None
 
     def _spoilt_total(self) -> float:
-        return float(sum(self._carrier.tally.total.values())) if self._carrier is not None else 0.0
+        return float(sum(self._transport.tally.total.values())) if self._transport is not None else 0.0
 
     def _unsent_total(self) -> float:
-        return float(self._carrier.datagrams.unsent) if self._carrier is not None else 0.0
+        return float(self._transport.datagrams.unsent) if self._transport is not None else 0.0
 
     @property
     def life(self) -> int:
@@ -112,10 +112,10 @@
         return self._settings.voters
 
     @property
-    def carrier(self) -> PeerCarrier:
+    def transport(self) -> PeerTransport:
         """Of a service that has started."""
-        assert self._carrier is not None
-        return self._carrier
+        assert self._transport is not None
+        return self._transport
 
     def member_names(self) -> list[str]:
         """The schedulers in the view, this one among them."""
@@ -139,7 +139,7 @@
 
     def _start(self) -> None:
         site, settings = self._site, self._settings
-        carrier = PeerCarrier(
+        transport = PeerTransport(
             site.loop,
             settings.listen,
             settings.cluster,
@@ -148,22 +148,22 @@
             self._log_spoilt,
             site.traffic,
         )
-        self._carrier = carrier
+        self._transport = transport
         if settings.voters:
-            self._start_leases(carrier)
+            self._start_leases(transport)
         life = self._state_file.life
         site.log.info("peers", life=life, address=settings.advertise, seeds=len(settings.seeds))
-        carrier.join(site.dispatcher.register(self.view, carrier))
+        transport.join(site.dispatcher.register(self.view, transport))
         site.loop.call_later(SAVE_INTERVAL_NS, self._save)
 
-    def _start_leases(self, carrier: PeerCarrier) -> None:
+    def _start_leases(self, transport: PeerTransport) -> None:
         """From here on slots are leased, and none is held before voters grant it."""
         site = self._site
         self.leases = LeaseHolder(self._lease_settings(), site.settings.file.seed, site.loop.now_ns())
         site.tell_module(SeatShare((), -1))
-        carrier.on_leases, carrier.on_tick = self._on_leases, self._on_tick
-        self._tell_leases = site.dispatcher.register(self.leases, carrier)
-        carrier.tell_leases = self._tell_leases
+        transport.on_leases, transport.on_tick = self._on_leases, self._on_tick
+        self._tell_leases = site.dispatcher.register(self.leases, transport)
+        transport.tell_leases = self._tell_leases
         site.metrics.gauge("seats_held", "Slots of the cold budget that may be used", self._usable_slots)
 
     def _lease_settings(self) -> LeaseSettings:
@@ -203,10 +203,10 @@
 
     def close(self) -> None:
         self._closed = True
-        if self._carrier is not None:
+        if self._transport is not None:
             if self._tell_leases is not None:
                 self._tell_leases(Stop())
-            self._carrier.leave()
+            self._transport.leave()
 
     def _save(self) -> None:
         """After a restart of the whole fleet the saved addresses are how it finds itself again."""
--- a/ladderhub/server/revisions.py
+++ b/ladderhub/server/revisions.py
@@ -100,7 +100,7 @@
     # --- as a part --------------------------------------------------------------------------------------
 
     def start(self) -> None:
-        carrier = RevisionCarrier(self._peers.carrier, self.revisions, self)
+        carrier = RevisionCarrier(self._peers.transport, self.revisions, self)
         self._carrier = carrier
         tell = self._site.dispatcher.register(self.revisions, carrier)
         self._tell = self._site.processor.bind(Cause.CONFIGURATION, tell)
--- a/tests/peers/test_peer_service.py
+++ b/tests/peers/test_peer_service.py
@@ -14,7 +14,7 @@
 from ladderhub.lab.ports import free_port
 from ladderhub.pbs import names as n
 from ladderhub.pbs.batch import Request
-from ladderhub.peers.carrier import PeerError
+from ladderhub.peers.transport import PeerError
 from ladderhub.peers.wire import cluster_tag
 from ladderhub.server.daemon import Daemon
 from ladderhub.server.peers import PeerService, PeerStateFile
@@ -85,8 +85,8 @@
     address = free_address()
     daemon, service = start(world, "alpha", address, [address])
     reported: list[Any] = []
-    assert service._carrier is not None
-    service._carrier._on_invalid = reported.append
+    assert service._transport is not None
+    service._transport._on_invalid = reported.append
     host, port = address.split(":")
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         for data in (
--- a/tests/peers/test_revisions.py
+++ b/tests/peers/test_revisions.py
@@ -220,7 +220,7 @@
 
 def test_what_follows_a_record_that_could_not_be_kept_waits_and_messages_are_lost(world: World) -> None:
     (service,) = start(world, ["alpha"]).values()
-    peers, host = service._peers.carrier, Host()
+    peers, host = service._peers.transport, Host()
     sent: list[Any] = []
     peers.send = lambda address, message: sent.append(message)  # type: ignore[method-assign]
     carrier = RevisionCarrier(peers, service.revisions, host)
