--- a/ladderhub/membership/context.py
+++ b/ladderhub/membership/context.py
@@ -45,13 +45,16 @@
         self.table.put(0, self.self_entry)
 
     def send(self, address: str, message: Message) -> None:
+        """Send a message, except to our own address."""
         if address != self.self_entry.address:
             self.actions.append(SendMessage(address, message))
 
     def report(self, change: Change, entry: Entry, cause: str) -> None:
+        """Report a change of a member and its cause."""
         self.actions.append(MemberChanged(change, entry.name, entry.life, cause))
 
     def take_next_number(self) -> int:
+        """Allocate the number of the next message."""
         self._number = (self._number + 1) % _NUMBER_LIMIT
         return self._number
 
@@ -65,6 +68,7 @@
         return self.table.entries[member].address
 
     def has_heard_since(self, member: MemberId, moment: int) -> bool:
+        """Whether the member has sent us a message at or after that time."""
         return self.last_heard_ns.get(member, -1) >= moment
 
     def raise_incarnation(self, now: int, incarnation: int) -> None:
--- a/ladderhub/membership/failure_detector.py
+++ b/ladderhub/membership/failure_detector.py
@@ -95,6 +95,7 @@
         return cleared
 
     def record_nack(self, member: MemberId, proxy: MemberId, now: int) -> None:
+        """Record that a proxy could not reach the member."""
         subject = self.monitored.get(member)
         if subject is not None:
             subject.nacks[proxy] = now
--- a/ladderhub/membership/gossip.py
+++ b/ladderhub/membership/gossip.py
@@ -17,6 +17,7 @@
 
 
 def estimate_entry_size(entry: Entry) -> int:
+    """Upper bound of the encoded size of an entry, in bytes."""
     return len(entry.name.encode()) + len(entry.address) + ENTRY_OVERHEAD_BYTES
 
 
@@ -47,6 +48,7 @@
         return len(self._level_of)
 
     def add(self, entry: Entry) -> None:
+        """Queue an entry for transmission, in place of an older one for the same member."""
         member = member_id(entry)
         if member in self._level_of:
             del self._levels[self._level_of[member]][member]
--- a/ladderhub/membership/leases.py
+++ b/ladderhub/membership/leases.py
@@ -44,6 +44,7 @@
         self.granted: dict[str, set[int]] = {}  # by voter address
 
     def count_votes(self, slot: int) -> int:
+        """Number of voters that granted the slot in this round."""
         return sum(slot in granted for granted in self.granted.values())
 
 
@@ -98,6 +99,7 @@
         return quarantine_over and requested_ns >= self._trusted_from_ns
 
     def _publish(self, now: int) -> None:
+        """Emit the usable slots if they have changed."""
         usable = self.get_usable_leases(now)
         if usable != self._published:
             self._published = usable
--- a/ladderhub/membership/table.py
+++ b/ladderhub/membership/table.py
@@ -30,10 +30,12 @@
 
 
 def overrides(new: Entry, old: Entry) -> bool:
+    """Whether `new` outranks `old`, another entry for the same member."""
     return _compute_rank(new) > _compute_rank(old)
 
 
 def compute_bucket(entry: Entry) -> int:
+    """Index of the digest bucket to which an entry belongs."""
     return crc32(entry.name.encode()) % DIGEST_BUCKETS
 
 
--- a/ladderhub/peers/transport.py
+++ b/ladderhub/peers/transport.py
@@ -147,6 +147,7 @@
         self._tell_view(Tick())
 
     def on_handled(self, event: Event) -> None:
+        """Call the hooks for a changed view and for a tick."""
         if self._members_changed:
             self._members_changed = False
             if self.on_members is not None:
--- a/ladderhub/peers/wire.py
+++ b/ladderhub/peers/wire.py
@@ -53,6 +53,7 @@
 
 
 def cluster_tag(cluster: str) -> int:
+    """Hash of a cluster's name, for `Frame.cluster`."""
     return crc32(cluster.encode())
 
 
--- a/tests/membership/test_leases.py
+++ b/tests/membership/test_leases.py
@@ -148,7 +148,7 @@
 
     one = {count: encode_slots({count - 1}, count) for count in (64, 1024)}
     small, large = (size(LeaseRequest(9999, one[count], "10.0.0.1:15010", False)) for count in one)
-    assert large <= small + 2  # what a member sends does not grow with the fleet
+    assert large <= small + 2  # a member's requests do not grow with the number of members
     half = encode_slots(set(range(0, 4096, 2)), 4096)
     assert size(LeaseGrant((1 << 31) - 1, half, half, "h" * 58 + ":65535"), "n" * 64) <= 1200
 
