--- a/ladderhub/peers/revisions.py
+++ b/ladderhub/peers/revisions.py
@@ -1,4 +1,4 @@
-"""Carries out the actions of the revision decisions: messages and one timer here, the rest by its host."""
+"""Carries out the actions of the revision decisions: messages and a timer here, all others by the host."""
 
 from __future__ import annotations
 
@@ -19,66 +19,66 @@
 
 
 class RevisionHost(Protocol):
-    """What a scheduler does by the revision decisions."""
+    """The operations that a scheduler provides for the revision decisions."""
 
     def store(self, record: Record) -> None:
-        """Keep it in place of the record before, on disk when this returns; OSError where that fails."""
+        """Replace the record on disk before returning; raises OSError on failure."""
 
     def check_body(self, body: bytes) -> str | None:
-        """What keeps this scheduler from acting by the body, or None."""
+        """Return why this scheduler can't act by the body, or None if it can."""
 
     def activate(self, revision: Revision) -> None:
-        """Act by it from now on."""
+        """Act by this revision from now on."""
 
-    def answer(self, request: int, outcome: Outcome) -> None:
-        """What became of an operator's request."""
+    def answer(self, request_id: int, outcome: Outcome) -> None:
+        """Answer an operator's request with its outcome."""
 
     def hold(self, reason: str) -> None:
-        """Decide nothing on new jobs until `resume`."""
+        """Make no decisions on new jobs until `resume`."""
 
     def resume(self) -> None:
-        """Decide again."""
+        """Make decisions again."""
 
     def notify(self, notice: Notice, text: str) -> None:
-        """For the log."""
+        """Log a notice."""
 
 
 class RevisionCarrier:
-    """Stands between the revision decisions, the peers and the host.
+    """Connects the revision decisions with the peers and the host.
 
-    Nothing that follows a record that could not be kept is done before it is kept: messages are dropped,
-    as if the network had lost them, and all else waits."""
+    While a record could not be stored, later messages are dropped as if the network had lost them, and all
+    other later actions are deferred until the record is stored."""
 
     def __init__(self, peers: PeerCarrier, revisions: Revisions, host: RevisionHost) -> None:
         self._peers, self._revisions, self._host = peers, revisions, host
-        self._tell: Callable[[Event], None] = _not_joined
-        self.heads: dict[str, tuple[Head, int]] = {}  # by member: the last that it sent, and when
+        self._dispatch: Callable[[Event], None] = _not_joined
+        self.heads: dict[str, tuple[Head, int]] = {}  # last head and time of arrival, by member
         self._tick_timer: Timer | None = None
         self._store_timer: Timer | None = None
-        self._unkept: Record | None = None
-        self._waiting: deque[Action] = deque()  # what follows that record
+        self._unsaved_record: Record | None = None  # to be stored again
+        self._deferred_actions: deque[Action] = deque()  # until that record is stored
 
-    def join(self, tell: Callable[[Event], None]) -> None:
-        """Begin: events go to `tell`, which brings them to the decisions."""
-        self._tell = tell
+    def join(self, dispatch: Callable[[Event], None]) -> None:
+        """Start; `dispatch` passes events to the revision decisions."""
+        self._dispatch = dispatch
         peers, loop = self._peers, self._peers.loop
         peers.tell_revisions = self._on_event
         peers.get_head = lambda: self._revisions.head(loop.now_ns())
         peers.on_members = self._on_members
         self._on_members()
-        tell(Tick())
+        dispatch(Tick())
 
     def _on_event(self, event: Event, sender: str) -> None:
         if isinstance(event, HeadSeen):
             self.heads[sender] = (event.head, self._peers.loop.now_ns())
-        self._tell(event)
+        self._dispatch(event)
 
     def _on_members(self) -> None:
         addresses = {entry.name: entry.address for entry in self._peers.view.members()}
         self.heads = {name: seen for name, seen in self.heads.items() if name in addresses}
-        self._tell(MembersChanged(addresses))
+        self._dispatch(MembersChanged(addresses))
 
-    # --- as a carrier -----------------------------------------------------------------------------------
+    # --- as an action executor --------------------------------------------------------------------------
 
     def execute(self, now_ns: int, action: Action) -> None:
         if isinstance(action, WakeAt):
@@ -86,49 +86,49 @@
                 self._tick_timer.cancel()
             self._tick_timer = self._peers.loop.call_at(action.at_ns, self._peers.call_when_read, self._tick)
         elif isinstance(action, Store):
-            self._unkept = action.record
+            self._unsaved_record = action.record
             self._store()
-        elif self._unkept is None:
-            self._carry_kept(action)
+        elif self._unsaved_record is None:
+            self._execute_now(action)
         elif not isinstance(action, Send):
-            self._waiting.append(action)
+            self._deferred_actions.append(action)
 
     def _tick(self) -> None:
-        self._tell(Tick())
+        self._dispatch(Tick())
 
     def on_handled(self, event: Event) -> None:
         return
 
     def _store(self) -> None:
-        """Each record holds all that those before it held: the last one is enough."""
-        record = self._unkept
+        """Store the last record, which supersedes earlier ones, and then execute the deferred actions."""
+        record = self._unsaved_record
         if record is None:
             return
         try:
             self._host.store(record)
         except OSError:
             if self._store_timer is None:
-                self._store_timer = self._peers.loop.call_later(STORE_RETRY_NS, self._store_again)
+                self._store_timer = self._peers.loop.call_later(STORE_RETRY_NS, self._retry_store)
             return
-        self._unkept = None
-        while self._waiting:
-            self._carry_kept(self._waiting.popleft())
+        self._unsaved_record = None
+        while self._deferred_actions:
+            self._execute_now(self._deferred_actions.popleft())
 
-    def _store_again(self) -> None:
+    def _retry_store(self) -> None:
         self._store_timer = None
         self._store()
 
-    def _carry_kept(self, action: Action) -> None:
+    def _execute_now(self, action: Action) -> None:
         host = self._host
         match action:
             case Send(address, message):
                 self._peers.send(address, message)
             case CheckBody(digest, body):
-                self._tell(BodyChecked(digest, host.check_body(body)))
+                self._dispatch(BodyChecked(digest, host.check_body(body)))
             case Activate(revision):
                 host.activate(revision)
-            case Answer(request, outcome):
-                host.answer(request, outcome)
+            case Answer(request_id, outcome):
+                host.answer(request_id, outcome)
             case Hold(reason):
                 host.hold(reason)
             case Resume():
@@ -144,4 +144,4 @@
 
 
 def _not_joined(event: Event) -> None:
-    raise RuntimeError("the carrier has not joined")
+    raise RuntimeError("event before RevisionCarrier.join")
--- a/ladderhub/revision/__init__.py
+++ b/ladderhub/revision/__init__.py
@@ -1,23 +1,26 @@
-"""Configuration of the fleet as numbered revisions, chosen by a majority of fixed voters.
+"""Configuration of the fleet as numbered revisions, chosen by a majority of a fixed set of voters.
 
-Decisions only: events and time in, actions out, seeded; no I/O, clock or globals.  Imports nothing of
-ladderhub but itself.  `docs/revisions.md` weighs the published work (Paxos, Raft, epidemic algorithms) and
-says what was chosen; the terms are those of these papers:
+The package holds decision logic only: events and the time go in, actions come out.  It does no I/O, reads no
+clock, has no globals, takes its randomness from a seed and imports nothing else from ladderhub.
+`docs/revisions.md` compares the published algorithms (Paxos, Raft, epidemic algorithms) and explains the
+choice.  The terms are those of these papers:
 
-revision        a numbered configuration of the whole fleet; its header names its parent by digest
-body            the configuration itself, opaque bytes here
+revision        a numbered configuration of the whole fleet; its header refers to its parent by digest
+body            the configuration itself, opaque bytes in this package
 head            the newest chosen revision that a scheduler knows
-voter           one of a fixed few schedulers that accept (an acceptor of Paxos)
-proposer        the scheduler that an operator asked; any may be one
-ballot          one try of a proposer to have a value accepted for a number
-chosen          accepted in one ballot by a majority of the voters: for good, whatever fails later
+voter           one of the few fixed schedulers that accept values (a Paxos acceptor)
+proposer        the scheduler that received the operator's request; any scheduler can be one
+instance        the run of Paxos that chooses the revision of one number
+ballot          one attempt of a proposer to have a value accepted for a number
+chosen          accepted in one ballot by a majority of the voters; later failures can't undo it
 active          the revision that this scheduler acts by
 
-One `Revisions` for each life of a scheduler: `Revisions(settings, stored, seed)` with the `Record` of the
-life before, then `handle(now_ns, event)` for each event, the first a `Tick`.  The actions are carried out in
-the order given; no action after a `Store` before its record is on disk.  `head(now_ns)` rides on every frame
-to a peer; `status(now_ns)` is for whoever asks; `is_stale(now_ns)` says, without an event, that this
-scheduler has stood still and must not decide before its next `Tick`.
+Each life of a scheduler creates one `Revisions(settings, stored, seed)`, where `stored` is the `Record` of
+the previous life, and then calls `handle(now_ns, event)` for each event, first of all with a `Tick`.  The
+caller carries out the returned actions in order, and carries out no action that follows a `Store` before that
+record is on disk.  `head(now_ns)` is sent with every frame to a peer; `status(now_ns)` serves status queries;
+`is_stale(now_ns)` tells, without an event, that this scheduler was paused and must not decide before its next
+`Tick`.
 
 Each file uses only those before it in this order: messages, types, content, record, context,
 ledger, voter, bodies, ballots, opinions, requests, proposer, sync, confirm, activation, revisions.
--- a/ladderhub/revision/activation.py
+++ b/ladderhub/revision/activation.py
@@ -1,4 +1,4 @@
-"""Acting by what was chosen: checked here first, each revision at most once in a life, never an older one."""
+"""Activation of chosen revisions, after a local check: each at most once in a life, never an older one."""
 
 from __future__ import annotations
 
@@ -11,52 +11,52 @@
 
 
 class Activation:
-    """What this life acts by.  At its start that is what its last life acted by, until it knows more."""
+    """The active revision of this life; at first the one that was active in the previous life."""
 
     def __init__(self, context: Context, ledger: Ledger, opinions: Opinions) -> None:
         self._context, self._ledger, self._opinions = context, ledger, opinions
-        self.acting: Header | None = None  # in this life
-        self.fault: str | None = None  # why the head is not acted by
-        self._told = 0  # the highest number that could not be acted by
+        self.active: Header | None = None  # None: none yet in this life
+        self.fault: str | None = None  # why the head can't be activated
+        self._reported_number = 0  # highest number whose fault was reported
 
     def progress(self) -> None:
         ledger, head = self._ledger, self._ledger.head
-        if self.acting is None and ledger.active is not None and ledger.active_body is not None:
-            self._consider(ledger.active, ledger.active_body)
+        if self.active is None and ledger.active is not None and ledger.active_body is not None:
+            self._try_activate(ledger.active, ledger.active_body)
         if head is not None and ledger.body is not None:
-            self._consider(head, ledger.body)
+            self._try_activate(head, ledger.body)
 
-    def _consider(self, header: Header, body: bytes) -> None:
-        if self.acting is not None and header.number <= self.acting.number:
+    def _try_activate(self, header: Header, body: bytes) -> None:
+        if self.active is not None and header.number <= self.active.number:
             return
-        fault = self._opinions.get(header.body)
+        fault = self._opinions.find_fault(header.body)
         if fault is None:
             self._opinions.check(header.body, body)
         elif fault:
-            self._refuse(header, fault)
+            self._report_fault(header, fault)
         else:
             self._activate(header, body)
 
-    def _refuse(self, header: Header, fault: str) -> None:
-        if header.number > self._told:
-            self._told = header.number
-            self._context.tell(Notice.CANNOT_ACTIVATE, f"revision {header.number}: {fault}")
+    def _report_fault(self, header: Header, fault: str) -> None:
+        if header.number > self._reported_number:
+            self._reported_number = header.number
+            self._context.notify(Notice.CANNOT_ACTIVATE, f"revision {header.number}: {fault}")
         if header == self._ledger.head:
             self.fault = fault
 
     def _activate(self, header: Header, body: bytes) -> None:
-        self.acting, self.fault = header, None
-        self._ledger.activate(header, body)
+        self.active, self.fault = header, None
+        self._ledger.set_active(header, body)
         self._ledger.store()
         self._context.actions.append(Activate(Revision(header, digest_of(header), body)))
         text = f"revision {header.number} by {header.author}: {header.reason}"
-        self._context.tell(Notice.ACTIVE, text)
+        self._context.notify(Notice.ACTIVE, text)
 
     def is_settled(self) -> bool:
-        """Is the head acted by, or known not to be possible here?"""
+        """Return whether the head is active or known to have a fault here."""
         head = self._ledger.head
-        return head is not None and (self.acting == head or self.fault is not None)
+        return head is not None and (self.active == head or self.fault is not None)
 
-    def on_chosen(self) -> None:
-        """The head has changed: what kept us from the one before says nothing of it."""
+    def on_head_changed(self) -> None:
+        """Reset the fault, which belongs to the previous head."""
         self.fault = None
--- a/ladderhub/revision/content.py
+++ b/ladderhub/revision/content.py
@@ -1,4 +1,4 @@
-"""Digests of headers and bodies, and bodies as pieces that fit a datagram."""
+"""Digests of headers and bodies, and splitting bodies into pieces that fit into a datagram."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 )  # fmt: skip
 
 NO_DIGEST = bytes(DIGEST_BYTES)  # the parent of revision 1
-HEADER_BYTES_TOLD = 800  # of headers in one message, well below a datagram
+MAX_HEADER_BYTES_PER_MESSAGE = 800  # well below the size of a datagram
 
 _ENCODER = msgspec.msgpack.Encoder()
 
 
 def digest_of(header: Header | None) -> bytes:
-    """By which a child names its parent."""
+    """Return the digest by which a child header refers to its parent."""
     if header is None:
         return NO_DIGEST
     return blake2b(_ENCODER.encode(header), digest_size=DIGEST_BYTES, person=b"header").digest()
@@ -34,27 +34,29 @@
 
 
 def header_fits(header: Header) -> bool:
-    """Texts are bounded in characters on the wire; here in bytes, so that every message with one fits."""
+    """Return whether the texts of a header are within their limits in bytes.
+
+    Decoding limits only the characters; the limits in bytes make each message fit into a datagram."""
     return len(header.author.encode()) <= MAX_AUTHOR_BYTES and len(header.reason.encode()) <= MAX_REASON_BYTES
 
 
-def headers_that_fit(headers: list[Header]) -> int:
-    """How many of the first of these go into one message."""
+def count_fitting_headers(headers: list[Header]) -> int:
+    """Return how many of these headers, from the first on, fit into one message."""
     size = 0
     for count, header in enumerate(headers):
         size += len(_ENCODER.encode(header))
-        if size > HEADER_BYTES_TOLD:
+        if size > MAX_HEADER_BYTES_PER_MESSAGE:
             return count
     return len(headers)
 
 
-def cut_text(text: str, most: int) -> str:
-    """The begin of a text that is at most so many bytes of UTF-8."""
-    return text.encode()[:most].decode("utf-8", "ignore")
+def truncate_text(text: str, max_bytes: int) -> str:
+    """Truncate a text to a number of bytes of UTF-8."""
+    return text.encode()[:max_bytes].decode("utf-8", "ignore")
 
 
 def to_pieces(body: bytes) -> tuple[bytes, ...]:
-    """The body compressed, in pieces; ValueError where it is too long."""
+    """Compress a body and split it into pieces; raises ValueError if it is too long."""
     if len(body) > MAX_BODY_BYTES:
         raise ValueError(f"a configuration of {len(body)} bytes; at most {MAX_BODY_BYTES} may be")
     packed = zlib.compress(body, 6)
@@ -62,11 +64,11 @@
         raise ValueError(
             f"a configuration of {len(packed)} bytes compressed; at most {MAX_PACKED_BYTES} may be"
         )
-    return tuple(packed[at : at + PIECE_BYTES] for at in range(0, len(packed), PIECE_BYTES))
+    return tuple(packed[start : start + PIECE_BYTES] for start in range(0, len(packed), PIECE_BYTES))
 
 
 def from_pieces(pieces: list[bytes], digest: bytes) -> bytes | None:
-    """The body, or None where the pieces are not of the body with this digest."""
+    """Return the body, or None if the pieces do not form the body with this digest."""
     unpacker = zlib.decompressobj()
     try:
         body = unpacker.decompress(b"".join(pieces), MAX_BODY_BYTES)
--- a/ladderhub/revision/messages.py
+++ b/ladderhub/revision/messages.py
@@ -1,7 +1,7 @@
-"""What schedulers tell each other of revisions.  Plain data with bounds on every part; `peers` has the bytes.
+"""Messages between schedulers about revisions: plain data with limits on every field; `peers` encodes them.
 
-Headers are small and travel whole; bodies are fetched by digest, compressed, in pieces.  Requests carry the
-address that the answer goes to."""
+Headers are small and are sent whole; bodies are fetched by digest, as compressed pieces.  Requests contain
+the address to which the answer is sent."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 import msgspec
 
 DIGEST_BYTES = 16
-SHORT_DIGEST_BYTES = 8  # of a digest that rides on every frame
+SHORT_DIGEST_BYTES = 8  # of the digest in the head that is sent with every frame
 MAX_AUTHOR_BYTES, MAX_REASON_BYTES, MAX_FAULT_BYTES = 64, 200, 200  # of UTF-8
-PIECE_BYTES = 800  # beside the longest name and address it fits into a datagram of 1,200 bytes
+PIECE_BYTES = 800  # fits, with the longest name and address, into a datagram of 1,200 bytes
 MAX_PACKED_BYTES = 64 * 1024  # of a compressed body
-MAX_BODY_BYTES = 1024 * 1024  # of a body
+MAX_BODY_BYTES = 1024 * 1024  # of a body before compression
 MAX_PIECES = (MAX_PACKED_BYTES + PIECE_BYTES - 1) // PIECE_BYTES
-MAX_PIECES_PER_REQUEST = 16  # in one request
-MAX_HEADERS_PER_MESSAGE = 6  # in one message
+MAX_PIECES_PER_REQUEST = 16
+MAX_HEADERS_PER_MESSAGE = 6
 
 Digest = Annotated[bytes, msgspec.Meta(min_length=DIGEST_BYTES, max_length=DIGEST_BYTES)]
 ShortDigest = Annotated[bytes, msgspec.Meta(min_length=SHORT_DIGEST_BYTES, max_length=SHORT_DIGEST_BYTES)]
@@ -28,8 +28,10 @@
 
 
 class Head(msgspec.Struct, frozen=True, array_like=True):
-    """The newest chosen revision that a scheduler knows: its number, the begin of its digest, and how long
-    ago a majority of the voters confirmed it, as far as the sender knows.  Number 0: none yet."""
+    """The newest chosen revision that a scheduler knows.
+
+    `number`: 0 if there is none yet.  `digest`: the first bytes of its digest.  `age_ms`: the time since a
+    majority of the voters confirmed it, as far as the sender knows."""
 
     number: Count
     digest: ShortDigest
@@ -37,7 +39,9 @@
 
 
 class Header(msgspec.Struct, frozen=True, array_like=True):
-    """A revision without its body.  `parent`: the digest of the header before; of zeros for number 1."""
+    """A revision without its body.
+
+    `parent`: the digest of the previous header, or zeros for number 1.  `body`: the digest of the body."""
 
     number: Count
     parent: Digest
@@ -48,25 +52,29 @@
 
 
 class Ballot(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """Ordered; `proposer` stands for one life of one scheduler, so no two have the same ballot."""
+    """The ordered number of a ballot.
+
+    `proposer` identifies one life of one scheduler, so two proposers never use the same ballot."""
 
     round: Count
     proposer: UInt63
 
 
-# --- what was chosen ------------------------------------------------------------------------------------
+# --- chosen revisions -----------------------------------------------------------------------------------
 
 
 class AskHead(msgspec.Struct, frozen=True, array_like=True, tag=16):
-    """What is the newest that you know?"""
+    """Request the head that the receiver knows."""
 
     nonce: UInt63
     reply_to: Address
 
 
 class HeadIs(msgspec.Struct, frozen=True, array_like=True, tag=17):
-    """The answer.  `sender`: its own address; `accepted`: of a voter the highest number for which it has
-    accepted a value or knows the chosen one; None where it has no record of that, or is no voter."""
+    """The answer to `AskHead`.
+
+    `sender`: the address of the sender.  `accepted`: the highest number for which the sender, a voter, may
+    have accepted a value or knows the chosen one; None if it has no record of its votes or is no voter."""
 
     nonce: UInt63
     sender: Address
@@ -75,21 +83,21 @@
 
 
 class FetchHeaders(msgspec.Struct, frozen=True, array_like=True, tag=18):
-    """Tell me the chosen headers from this number on; 0: the newest alone."""
+    """Request the chosen headers from number `start` on; 0: only the newest."""
 
     start: Count
     reply_to: Address
 
 
 class Headers(msgspec.Struct, frozen=True, array_like=True, tag=19):
-    """Chosen headers, in order, without gaps; `first` is the lowest number that the sender still keeps."""
+    """Chosen headers in order, without gaps.  `first`: the lowest number that the sender still keeps."""
 
     first: Count
     headers: Annotated[tuple[Header, ...], msgspec.Meta(max_length=MAX_HEADERS_PER_MESSAGE)]
 
 
 class FetchPieces(msgspec.Struct, frozen=True, array_like=True, tag=20):
-    """Tell me these pieces of the compressed body with this digest."""
+    """Request pieces of the compressed body with this digest."""
 
     nonce: UInt63
     body: Digest
@@ -98,7 +106,7 @@
 
 
 class Piece(msgspec.Struct, frozen=True, array_like=True, tag=21):
-    """One of `total` pieces; the nonce is that of the request."""
+    """One of `total` pieces, with the nonce of the request."""
 
     nonce: UInt63
     index: PieceIndex
@@ -107,16 +115,18 @@
 
 
 class Lacking(msgspec.Struct, frozen=True, array_like=True, tag=22):
-    """The answer to a request for pieces of a body that the receiver does not have."""
+    """The answer to `FetchPieces` of a scheduler that does not have the body."""
 
     nonce: UInt63
 
 
-# --- the check before a ballot --------------------------------------------------------------------------
+# --- check before the ballots ---------------------------------------------------------------------------
 
 
 class Proposal(msgspec.Struct, frozen=True, array_like=True, tag=23):
-    """Could you act by this body?  Tell the proposer.  `holder`: where the body can be fetched."""
+    """Ask whether the receiver can act by this body; it answers the proposer.
+
+    `holder`: the address from which the body can be fetched."""
 
     body: Digest
     proposer: Address
@@ -124,17 +134,17 @@
 
 
 class Opinion(msgspec.Struct, frozen=True, array_like=True, tag=24):
-    """The answer; an empty `fault` says yes."""
+    """The answer to `Proposal`.  `fault`: why the sender can't act by the body; empty if it can."""
 
     body: Digest
     fault: Annotated[str, msgspec.Meta(max_length=MAX_FAULT_BYTES)]
 
 
-# --- the ballot: Paxos, one decision a number -----------------------------------------------------------
+# --- ballots: one Paxos instance per number -------------------------------------------------------------
 
 
 class Prepare(msgspec.Struct, frozen=True, array_like=True, tag=25):
-    """To a voter: promise me to accept nothing below this ballot."""
+    """Phase one, to a voter: request a promise to accept no lower ballot than this one."""
 
     number: Count
     ballot: Ballot
@@ -142,7 +152,7 @@
 
 
 class Promise(msgspec.Struct, frozen=True, array_like=True, tag=26):
-    """Promised; and what this voter has accepted for the number, with its ballot."""
+    """A voter's promise, with the value that it has accepted for the number and the ballot of that value."""
 
     number: Count
     ballot: Ballot
@@ -152,7 +162,9 @@
 
 
 class Accept(msgspec.Struct, frozen=True, array_like=True, tag=27):
-    """To a voter: accept this revision.  `holder`: where its body can be fetched."""
+    """Phase two, to a voter: accept this revision.
+
+    `holder`: the address from which its body can be fetched."""
 
     ballot: Ballot
     header: Header
@@ -161,7 +173,7 @@
 
 
 class Accepted(msgspec.Struct, frozen=True, array_like=True, tag=28):
-    """Accepted, with its body, and kept on disk."""
+    """A voter has accepted the revision and stored it with its body on disk."""
 
     number: Count
     ballot: Ballot
@@ -169,7 +181,7 @@
 
 
 class Rejected(msgspec.Struct, frozen=True, array_like=True, tag=29):
-    """The ballot is below one that this voter has promised."""
+    """A voter rejects a ballot that is lower than the one in its promise."""
 
     number: Count
     ballot: Ballot
--- a/ladderhub/revision/revisions.py
+++ b/ladderhub/revision/revisions.py
@@ -1,9 +1,9 @@
-"""One scheduler's part in the revisions of the fleet: hears events, gives actions."""
+"""The revision decisions of one scheduler: takes events and returns actions."""
 
 from __future__ import annotations
 
 from ladderhub.revision.activation import Activation
-from ladderhub.revision.bodies import Bodies, Downloads, offer_pieces
+from ladderhub.revision.bodies import BodyCache, Downloads, send_pieces
 from ladderhub.revision.confirm import CatchUp, Confirmation
 from ladderhub.revision.content import body_digest, header_fits
 from ladderhub.revision.context import Context
@@ -22,23 +22,23 @@
 )  # fmt: skip
 from ladderhub.revision.voter import Voter
 
-IDLE_NS = 500 * MS  # the longest span between two ticks
-PAUSE_NS = 2 * S  # a longer one between two events: this scheduler stood still
-LEAST_WAIT_NS = 5 * MS
-FIRST_STEP_NS = 300 * MS  # by which voters wait for each other, in their order, to propose the first
-FIRST_AGAIN_NS = (3 * S, 6 * S)
-FIRST_REASON = "the settings file"
-BODY_SOURCES = 2  # members drawn to fetch a body from, beside whoever told of it
+MAX_TICK_INTERVAL_NS = 500 * MS
+PAUSE_THRESHOLD_NS = 2 * S  # a longer gap between two events means that this process was paused
+MIN_WAIT_NS = 5 * MS
+INITIAL_PROPOSAL_STEP_NS = 300 * MS  # each voter waits so much longer than the one before it
+INITIAL_PROPOSAL_RETRY_NS = (3 * S, 6 * S)
+INITIAL_REASON = "the settings file"
+EXTRA_BODY_SOURCES = 2  # random members, besides the voters and the source of the header
 
 
 class Revisions:
-    """Decides for one life of one scheduler.  The first event is a `Tick`."""
+    """Decides for one life of a scheduler.  The first event is a `Tick`."""
 
     def __init__(self, settings: RevisionSettings, stored: Record | None, seed: int) -> None:
         self.settings = settings
         self._context = context = Context(settings, seed)
         self._ledger = ledger = Ledger(context, stored)
-        self._bodies = Bodies()
+        self._bodies = BodyCache()
         self._downloads = Downloads(context, self._bodies)
         self._opinions = Opinions(context, self._downloads)
         self._requests = Requests(context, self._bodies, self._opinions)
@@ -48,42 +48,42 @@
         self._confirmation = Confirmation(context, ledger, self._sync)
         self._catch_up = CatchUp(context, ledger, self._sync, self._confirmation)
         self._activation = Activation(context, ledger, self._opinions)
-        self._first_digest = body_digest(settings.initial_body)
-        self._first_ns: int | None = None  # when to propose the settings file
-        self._file_told = False
-        self._last_ns: int | None = None  # of the last event
-        self._wake_ns = 0  # the moment asked for last
+        self._initial_digest = body_digest(settings.initial_body)
+        self._propose_initial_ns: int | None = None  # when to propose the settings file
+        self._file_reported = False
+        self._last_event_ns: int | None = None
+        self._timer_ns = 0  # the time of the last `WakeAt`
 
-    # --- for whoever asks -------------------------------------------------------------------------------
+    # --- queries ----------------------------------------------------------------------------------------
 
     def head(self, now_ns: int) -> Head:
-        """What rides on every frame to a peer."""
+        """Return the head to send with every frame to a peer."""
         return self._confirmation.head(now_ns)
 
     def is_stale(self, now_ns: int) -> bool:
-        """Must nothing be decided now?  Also true, before any event says so, after a pause of our own."""
-        late = self._last_ns is None or now_ns - self._last_ns > PAUSE_NS
-        return late or self._catch_up.reason is not None
+        """Return whether decisions must be held, also after a pause that no event has reported yet."""
+        paused = self._last_event_ns is None or now_ns - self._last_event_ns > PAUSE_THRESHOLD_NS
+        return paused or self._catch_up.hold_reason is not None
 
     def status(self, now_ns: int) -> Status:
         ledger, head = self._ledger, self._ledger.head
-        differs = head is not None and head.body != self._first_digest
+        file_differs = head is not None and head.body != self._initial_digest
         return Status(
-            head, ledger.head_digest, self._activation.acting, self._confirmation.age_ns(now_ns),
-            self._catch_up.reason, self._activation.fault, differs, tuple(ledger.headers),
+            head, ledger.head_digest, self._activation.active, self._confirmation.age_ns(now_ns),
+            self._catch_up.hold_reason, self._activation.fault, file_differs, tuple(ledger.headers),
         )  # fmt: skip
 
     def body_of(self, header: Header) -> bytes | None:
-        """The body of a revision, where it is still kept here."""
+        """Return the body of a revision, or None if it is not kept here."""
         return self._find_body(header.body)
 
     # --- events -----------------------------------------------------------------------------------------
 
     def handle(self, now_ns: int, event: Event) -> list[Action]:
-        """Take one event and give the actions it calls for."""
+        """Handle one event and return the resulting actions."""
         context = self._context
         context.actions = []
-        self._watch_clock(now_ns)
+        self._detect_pause(now_ns)
         if isinstance(event, MessageReceived):
             self._on_message(now_ns, event.name, event.message)
         elif isinstance(event, HeadSeen):
@@ -93,42 +93,45 @@
             self._opinions.on_checked(now_ns, event.digest, event.fault)
             self._requests.on_own_opinion(event.digest)
         elif isinstance(event, MembersChanged):
-            mine = self.settings.name
-            context.addresses = {name: at for name, at in event.addresses.items() if name != mine}
+            own_name = self.settings.name
+            context.addresses = {name: at for name, at in event.addresses.items() if name != own_name}
         elif isinstance(event, Apply):
             self._on_apply(now_ns, event)
         self._tick(now_ns)
-        self._drain(now_ns)
+        self._handle_own_messages(now_ns)
         self._progress(now_ns)
         self._ledger.store()
-        self._wake(now_ns, isinstance(event, Tick))
+        self._set_timer(now_ns, isinstance(event, Tick))
         return context.actions
 
-    def _watch_clock(self, now: int) -> None:
-        last, self._last_ns = self._last_ns, now
+    def _detect_pause(self, now: int) -> None:
+        last, self._last_event_ns = self._last_event_ns, now
         if last is None:
             self._voter.start()
-            self._catch_up.begin(now, "started")
-        elif now - last > PAUSE_NS:
-            self._requests.shift(now - last)
-            self._catch_up.begin(now, f"stood still for {(now - last) / S:.1f} s")
+            self._catch_up.start(now, "started")
+        elif now - last > PAUSE_THRESHOLD_NS:
+            self._requests.postpone(now - last)
+            self._catch_up.start(now, f"stood still for {(now - last) / S:.1f} s")
 
     def _on_apply(self, now: int, apply: Apply) -> None:
         ledger, parent = self._ledger, apply.parent
-        if parent is not None and parent != ledger.head_digest and not self._may_follow(parent):
+        if parent is not None and parent != ledger.head_digest and not self._may_become_known(parent):
             self._context.actions.append(
                 Answer(apply.request_id, StaleParent(ledger.head, ledger.head_digest))
             )
         else:
             self._requests.add(now, apply)
 
-    def _may_follow(self, parent: bytes) -> bool:
-        """Could this be the digest of a revision that we are about to learn of?"""
-        behind = self._sync.newest_seen() > self._ledger.head_number or self._catch_up.reason is not None
+    def _may_become_known(self, parent: bytes) -> bool:
+        """Return whether this may be the digest of a newer revision that is not known here yet."""
+        behind = (
+            self._sync.newest_seen_number() > self._ledger.head_number
+            or self._catch_up.hold_reason is not None
+        )
         return behind and parent not in self._ledger.digests
 
-    def _drain(self, now: int) -> None:
-        """What we said to ourselves."""
+    def _handle_own_messages(self, now: int) -> None:
+        """Handle the messages that this scheduler has sent to itself."""
         inbox = self._context.inbox
         while inbox:
             self._on_message(now, self.settings.name, inbox.popleft())
@@ -137,43 +140,47 @@
         self._requests.tick(now)
         self._downloads.tick(now)
         self._sync.tick(now)
-        if self._proposer.decision is not None:
-            self._proposer.decision.tick(now)
-        if self._confirmation.is_voter and self._catch_up.reason is None and now >= self._confirmation.due_ns:
-            self._confirmation.begin(now)
-            self._confirmation.ask(0)
+        if self._proposer.instance is not None:
+            self._proposer.instance.tick(now)
+        if (
+            self._confirmation.is_voter
+            and self._catch_up.hold_reason is None
+            and now >= self._confirmation.due_ns
+        ):
+            self._confirmation.start_round(now)
+            self._confirmation.ask_heads(0)
 
     def _progress(self, now: int) -> None:
-        """All that follows from what is known now."""
+        """Take all steps that are possible with the current state."""
         while True:
-            decision = self._proposer.decision
-            if decision is not None and decision.chosen is not None:
-                self._on_decided(now, decision.chosen)
+            instance = self._proposer.instance
+            if instance is not None and instance.chosen is not None:
+                self._on_decided(now, instance.chosen)
             self._activation.progress()
-            self._propose_first(now)
+            self._propose_initial(now)
             self._proposer.progress(now, self._confirmation.age_ns(now))
-            if self._proposer.decision is None or self._proposer.decision is decision:
+            if self._proposer.instance is None or self._proposer.instance is instance:
                 break
-            self._proposer.decision.tick(now)
-            self._drain(now)  # a single voter decides at once
+            self._proposer.instance.tick(now)
+            self._handle_own_messages(now)  # a single voter decides at once
         self._catch_up.progress(now, self._activation.is_settled())
-        self._tell_file()
+        self._report_file_difference()
 
-    def _wake(self, now: int, woken: bool) -> None:
-        """A moment that comes too early does no harm: the timer is set anew only for an earlier one."""
-        due = self._next_ns(now)
-        if woken or due < self._wake_ns or now >= self._wake_ns:
-            self._wake_ns = due
+    def _set_timer(self, now: int, timer_fired: bool) -> None:
+        """Reset the timer if it has fired or has to fire earlier; firing too early is harmless."""
+        due = self._next_due_ns(now)
+        if timer_fired or due < self._timer_ns or now >= self._timer_ns:
+            self._timer_ns = due
             self._context.actions.append(WakeAt(due))
 
-    def _next_ns(self, now: int) -> int:
+    def _next_due_ns(self, now: int) -> int:
         parts = (self._requests, self._downloads, self._sync, self._proposer, self._catch_up)
         due = [each for each in (part.due_ns() for part in parts) if each is not None]
         if self._confirmation.is_voter:
             due.append(self._confirmation.due_ns)
-        if self._first_ns is not None:
-            due.append(self._first_ns)
-        return max(now + LEAST_WAIT_NS, min([now + IDLE_NS, *due]))
+        if self._propose_initial_ns is not None:
+            due.append(self._propose_initial_ns)
+        return max(now + MIN_WAIT_NS, min([now + MAX_TICK_INTERVAL_NS, *due]))
 
     # --- messages ---------------------------------------------------------------------------------------
 
@@ -185,7 +192,7 @@
         elif isinstance(message, FetchHeaders):
             self._sync.on_fetch(message)
         elif isinstance(message, FetchPieces):
-            offer_pieces(self._context, self._bodies, self._find_body(message.body), message)
+            send_pieces(self._context, self._bodies, self._find_body(message.body), message)
         elif isinstance(message, Piece):
             self._on_piece(now, message)
         elif isinstance(message, Lacking):
@@ -206,27 +213,27 @@
             self._on_ballot(now, message)
 
     def _on_ballot(self, now: int, message: Prepare | Accept | Promise | Accepted | Rejected) -> None:
-        decision = self._proposer.decision
+        instance = self._proposer.instance
         if isinstance(message, Prepare):
-            told = self._tell_chosen(message.number, message.reply_to)
-            if not told and self._voter.may_begin(message.number):
+            already_chosen = self._send_chosen(message.number, message.reply_to)
+            if not already_chosen and self._voter.may_start_ballot(message.number):
                 self._voter.on_prepare(message)
         elif isinstance(message, Accept):
             header = message.header
-            if header_fits(header) and not self._tell_chosen(header.number, message.reply_to):
+            if header_fits(header) and not self._send_chosen(header.number, message.reply_to):
                 self._on_accept(now, message)
-        elif decision is None:
+        elif instance is None:
             return
         elif isinstance(message, Promise):
             if message.header is None or header_fits(message.header):
-                decision.on_promise(now, message)
+                instance.on_promise(now, message)
         elif isinstance(message, Accepted):
-            decision.on_accepted(message)
+            instance.on_accepted(message)
         else:
-            decision.on_rejected(now, message)
+            instance.on_rejected(now, message)
 
-    def _tell_chosen(self, number: int, address: str) -> bool:
-        """To a proposer that does not know yet what was chosen for its number."""
+    def _send_chosen(self, number: int, address: str) -> bool:
+        """Send the chosen headers to a proposer if its number is already decided; return whether it is."""
         if number > self._ledger.head_number:
             return False
         self._sync.on_fetch(FetchHeaders(number, address))
@@ -235,9 +242,9 @@
     def _on_accept(self, now: int, accept: Accept) -> None:
         digest = accept.header.body
         self._voter.on_accept(accept, self._find_body(digest))
-        if self._voter.waiting is accept:
+        if self._voter.pending_accept is accept:
             sources = (*self.settings.voters, accept.reply_to, accept.holder)
-            self._downloads.want(now, digest, sources, now + 5 * S)
+            self._downloads.fetch(now, digest, sources, now + 5 * S)
 
     # --- bodies -----------------------------------------------------------------------------------------
 
@@ -252,17 +259,17 @@
         body = self._bodies.get(digest) if digest is not None else None
         if digest is None or body is None:
             return
-        head, waiting = self._ledger.head, self._voter.waiting
+        head, pending = self._ledger.head, self._voter.pending_accept
         if head is not None and head.body == digest:
-            self._ledger.put_body(body)
-        if waiting is not None and waiting.header.body == digest:
-            self._voter.on_accept(waiting, body)
+            self._ledger.set_head_body(body)
+        if pending is not None and pending.header.body == digest:
+            self._voter.on_accept(pending, body)
         self._opinions.on_body(digest, body)
 
-    # --- what is chosen ---------------------------------------------------------------------------------
+    # --- chosen revisions -------------------------------------------------------------------------------
 
     def _on_decided(self, now: int, header: Header) -> None:
-        """Our ballot has its majority."""
+        """Record the value that a ballot of this scheduler has chosen."""
         self._confirmation.confirm(now)
         if self._ledger.extends_head(header):
             self._ledger.record_chosen(header)
@@ -270,48 +277,51 @@
             self._on_head_changed(now, "", others)
 
     def _on_head_changed(self, now: int, source: str, to: tuple[str, ...]) -> None:
-        """Our head is new, told by `source`; some of the others, and `to`, hear of it from us."""
+        """Handle a new head received from `source`; push it to `to` and some other members."""
         head = self._ledger.head
         assert head is not None
-        self._context.tell(Notice.CHOSEN, f"revision {head.number} by {head.author}: {head.reason}")
-        self._confirmation.settle()
-        self._activation.on_chosen()
+        self._context.notify(Notice.CHOSEN, f"revision {head.number} by {head.author}: {head.reason}")
+        self._confirmation.confirm_if_majority()
+        self._activation.on_head_changed()
         self._sync.push(now, to)
         body = self._find_body(head.body)
         if body is not None:
-            self._ledger.put_body(body)
-            self._downloads.drop_all_but(set())
+            self._ledger.set_head_body(body)
+            self._downloads.cancel_all_except(set())
             return
-        self._downloads.drop_all_but({head.body})
-        some = self._context.sample(BODY_SOURCES)
-        sources = [*self.settings.voters, *some, *([source] if source else [])]
-        self._downloads.want(now, head.body, sources)
+        self._downloads.cancel_all_except({head.body})
+        extra = self._context.sample(EXTRA_BODY_SOURCES)
+        sources = [*self.settings.voters, *extra, *([source] if source else [])]
+        self._downloads.fetch(now, head.body, sources)
 
     # --- the first revision -----------------------------------------------------------------------------
 
-    def _propose_first(self, now: int) -> None:
-        """A voter that finds nothing chosen proposes its settings file, each later than those before it."""
+    def _propose_initial(self, now: int) -> None:
+        """Propose the settings file if nothing is chosen; voters do so one after the other."""
         votes_from = self._ledger.votes_from
         if self._ledger.head is not None or votes_from != 1 or not self._confirmation.is_voter:
-            self._first_ns = None
+            self._propose_initial_ns = None
             return
-        if not self._confirmation.heard_majority() and self._first_ns is None:
+        if not self._confirmation.has_majority() and self._propose_initial_ns is None:
             return
-        if self._first_ns is None:
+        if self._propose_initial_ns is None:
             rank = self.settings.voters.index(self.settings.address)
-            self._first_ns = now + rank * FIRST_STEP_NS
-        if now >= self._first_ns and not self._requests.waiting:
-            self._first_ns = now + self._context.jitter(*FIRST_AGAIN_NS)
-            first, name = self.settings.initial_body, self.settings.name
-            self._requests.add_first(now, Apply(0, None, name, FIRST_REASON, 0, first))
-
-    def _tell_file(self) -> None:
-        """Once in a life, when it is known: the file is not what is in force."""
+            self._propose_initial_ns = now + rank * INITIAL_PROPOSAL_STEP_NS
+        if now >= self._propose_initial_ns and not self._requests.waiting:
+            self._propose_initial_ns = now + self._context.draw_delay_ns(*INITIAL_PROPOSAL_RETRY_NS)
+            body, name = self.settings.initial_body, self.settings.name
+            self._requests.add_initial(now, Apply(0, None, name, INITIAL_REASON, 0, body))
+
+    def _report_file_difference(self) -> None:
+        """Report, once in a life, that the settings file differs from the head."""
         head = self._ledger.head
-        if self._file_told or head is None or self._catch_up.reason is not None:
+        if self._file_reported or head is None or self._catch_up.hold_reason is not None:
             return
-        self._file_told = True
-        if head.body != self._first_digest:
-            same = [each.number for each in self._ledger.headers if each.body == self._first_digest]
-            was = f"revision {same[-1]}" if same else "no revision that is known here"
-            self._context.tell(Notice.FILE_DIFFERS, f"the file is {was}; revision {head.number} is in force")
+        self._file_reported = True
+        if head.body != self._initial_digest:
+            numbers = [each.number for each in self._ledger.headers if each.body == self._initial_digest]
+            matching = f"revision {numbers[-1]}" if numbers else "no revision that is known here"
+            self._context.notify(
+                Notice.FILE_DIFFERS,
+                f"the settings file matches {matching}; revision {head.number} is in force",
+            )
--- a/ladderhub/revision/types.py
+++ b/ladderhub/revision/types.py
@@ -1,4 +1,6 @@
-"""Settings, events, actions and outcomes.  Times are nanoseconds of one steady clock, except `made_ms`."""
+"""Settings, events, actions and outcomes of the revision decisions.
+
+Times are nanoseconds of one monotonic clock, except `made_ms`, which is wall clock time."""
 
 from __future__ import annotations
 
@@ -8,16 +10,16 @@
 
 from ladderhub.revision.messages import Ballot, Head, Header, RevisionMessage
 
-MS, S = 1_000_000, 1_000_000_000
+MS, S = 1_000_000, 1_000_000_000  # in nanoseconds
 
 
 @dataclass(frozen=True, slots=True)
 class RevisionSettings:
-    """What one scheduler is told at its start.
+    """The start parameters of one scheduler.
 
-    `life` grows over all lives of a name.  `voters`: addresses, the same on all schedulers; this scheduler is
-    one where its `address` is among them.  `initial_body`: the body that its settings file gives, proposed as
-    revision 1 where nothing is chosen yet."""
+    `life` grows with each life of a name.  `voters`: the addresses of the voters, the same on all schedulers;
+    this scheduler is a voter if its `address` is among them.  `initial_body`: the body from its settings
+    file, proposed as revision 1 if nothing is chosen yet."""
 
     name: str
     life: int
@@ -27,9 +29,9 @@
 
     def __post_init__(self) -> None:
         if not self.voters or len(set(self.voters)) != len(self.voters):
-            raise ValueError("voters: at least one address is meant, each once")
+            raise ValueError("voters: expected at least one address and no duplicates")
         if self.life <= 0:
-            raise ValueError("life: must be above 0")
+            raise ValueError("life: must be greater than 0")
 
     @property
     def majority(self) -> int:
@@ -47,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Acceptance:
-    """What a voter has accepted for the number after its head."""
+    """The value that a voter has accepted for the number after its head."""
 
     ballot: Ballot
     header: Header
@@ -56,12 +58,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """What has to outlast the process, all of it or nothing.
+    """The state that must survive a restart; it is stored atomically.
 
-    `headers`: the last chosen ones, in order.  `body`: of the last of them, or None while it is fetched.
-    `active`, `active_body`: the header acted by, where that is not the last of `headers`.  `promised` and
-    `accepted` speak of the number after the last header.  `votes_from`: the lowest number this voter may
-    vote on; None until that is known."""
+    `headers`: the last chosen headers, in order.  `body`: the body of the last header, or None until it has
+    been fetched.  `active` and `active_body`: the revision last activated, which can be older than the last
+    of `headers`.  `promised` and `accepted` refer to the number after the last header.  `votes_from`: the
+    lowest number on which this voter may vote; None until that is known."""
 
     headers: tuple[Header, ...] = ()
     body: bytes | None = None
@@ -77,8 +79,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Apply:
-    """An operator wants this body to be in force.  `parent`: the digest of the revision that it was made
-    from; None: on top of whatever is current.  Answered by one `Answer` with the same `request_id`."""
+    """An operator requests that this body come into force.
+
+    `parent`: the digest of the revision that the body was edited from; None: whichever revision is current.
+    Answered by exactly one `Answer` with the same `request_id`."""
 
     request_id: int
     parent: bytes | None
@@ -90,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BodyChecked:
-    """The answer to `CheckBody`: what keeps this scheduler from acting by it, or None."""
+    """The result of `CheckBody`.  `fault`: why this scheduler can't act by the body, or None if it can."""
 
     digest: bytes
     fault: str | None
@@ -98,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageReceived:
-    """A message came from the process that calls itself so."""
+    """A message arrived; `name` and `life` are those that the sender claims."""
 
     name: str
     life: int
@@ -107,7 +111,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HeadSeen:
-    """A frame came from the peer at this address, and this was its head."""
+    """A frame arrived from the peer at this address and carried its head."""
 
     address: str
     head: Head
@@ -115,14 +119,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MembersChanged:
-    """The other schedulers in the view, names and addresses."""
+    """The members in the membership view have changed.  `addresses`: by member name."""
 
     addresses: Mapping[str, str]
 
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """The moment that `WakeAt` asked for, or a later one."""
+    """The time requested by `WakeAt` has been reached."""
 
 
 Event = Apply | BodyChecked | MessageReceived | HeadSeen | MembersChanged | Tick
@@ -133,7 +137,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Applied:
-    """Chosen.  `silent`: members that did not say in time whether they can act by it."""
+    """The body was chosen.  `silent`: members that did not report in time whether they can act by it."""
 
     header: Header
     digest: bytes
@@ -142,7 +146,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unchanged:
-    """The revision in force has this body already."""
+    """The current revision already has this body."""
 
     header: Header
     digest: bytes
@@ -150,7 +154,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StaleParent:
-    """It was made from a revision that is not current; this one is (None: nothing is chosen yet)."""
+    """The requested parent is not the current revision.  `current`: None if nothing is chosen yet."""
 
     current: Header | None
     digest: bytes
@@ -158,7 +162,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LostTo:
-    """Another revision was chosen first."""
+    """Another child of the same parent was chosen first."""
 
     winner: Header
     digest: bytes
@@ -166,7 +170,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """A member can't act by it; it is in force nowhere."""
+    """A member can't act by the body, so it does not come into force anywhere."""
 
     member: str
     fault: str
@@ -174,8 +178,10 @@
 
 @dataclass(frozen=True, slots=True)
 class NoMajority:
-    """Too few voters answered.  `may_follow`: some may have accepted it, so it may yet be chosen.  `age_ns`:
-    since a majority last confirmed what is in force here; None: never in this life."""
+    """Too few voters answered.
+
+    `may_follow`: some voters may have accepted the body, so it can still be chosen later.  `age_ns`: the time
+    since a majority last confirmed the head of this scheduler; None: never in this life."""
 
     answered: int
     voters: int
@@ -185,7 +191,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Invalid:
-    """The request itself makes no sense here, or too many wait already."""
+    """The request is malformed, or too many requests are already queued."""
 
     fault: str
 
@@ -198,7 +204,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send a message to an address; it may be lost."""
+    """Send a message to an address, without guarantee of delivery."""
 
     address: str
     message: RevisionMessage
@@ -206,14 +212,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WakeAt:
-    """Call with `Tick` at this moment; replaces an earlier one."""
+    """Call `handle` with a `Tick` at this time; replaces the previous request."""
 
     at_ns: int
 
 
 @dataclass(frozen=True, slots=True)
 class CheckBody:
-    """Could this scheduler act by this body?  Answer with `BodyChecked`, at once or later."""
+    """Check whether this scheduler can act by this body; answer with `BodyChecked`, now or later."""
 
     digest: bytes
     body: bytes
@@ -221,7 +227,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Store:
-    """Keep this on disk in place of the record before; carry out no later action until it is there."""
+    """Write this record to disk in place of the previous one; later actions wait until that is done."""
 
     record: Record
 
@@ -235,7 +241,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What became of an `Apply`."""
+    """The outcome of an `Apply`."""
 
     request_id: int
     outcome: Outcome
@@ -243,18 +249,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Hold:
-    """Decide nothing on new jobs until `Resume`: what is active may be old."""
+    """Make no decisions on new jobs until `Resume`, because the active revision may be outdated."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Resume:
-    """Decide again, by what is active."""
+    """Make decisions again, by the active revision."""
 
 
 class Notice(Enum):
-    """What is told to the operator."""
+    """The kinds of notices to the operator."""
 
     CHOSEN = "chosen"
     ACTIVE = "active"
@@ -271,7 +277,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Notify:
-    """For the log."""
+    """Log a notice."""
 
     notice: Notice
     text: str
@@ -282,8 +288,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Status:
-    """For whoever asks.  `age_ns`: since a majority of the voters last confirmed the head, as far as known
-    here.  `fault`: why the head is not acted by."""
+    """The state of revisions on this scheduler.
+
+    `age_ns`: the time since a majority of the voters last confirmed the head, as far as this scheduler knows.
+    `hold_reason`: why decisions are held, or None.  `fault`: why this scheduler can't act by the head, or
+    None.  `file_differs`: the settings file differs from the head."""
 
     head: Header | None
     digest: bytes
--- a/tests/peers/test_revisions.py
+++ b/tests/peers/test_revisions.py
@@ -1,4 +1,4 @@
-"""Revisions as a part of the daemon, on one loop: what operators ask, what lasts, what waits."""
+"""Revisions in the daemon, on one loop: operators' requests, stored records, and held decisions."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def start(world: World, names: list[str]) -> dict[str, RevisionService]:
-    """Schedulers of these names, all of them voters, and the first revision in force on each."""
+    """Start schedulers with these names, all voters, and wait until the first revision is active on each."""
     places = [f"127.0.0.1:{free_port()}" for _ in names]
     for name, place in zip(names, places, strict=True):
         world.settings["peers"] = {
@@ -58,7 +58,7 @@
 
 
 def policy(world: World, aim: str) -> bytes:
-    """The policy of the file, but for one field."""
+    """Return the policy of the settings file with another `aim`."""
     value = copy.deepcopy(world.settings)
     value["queues"]["web"]["aim"] = aim
     own = {"server": "x", "listen": "127.0.0.1:1", "directory": "127.0.0.1:2", "spool": "x"}
@@ -124,7 +124,7 @@
     assert number(services["gamma"]) == 1
 
 
-def test_what_is_in_force_lasts_and_a_file_that_differs_is_told_and_not_followed(world: World) -> None:
+def test_the_active_revision_survives_a_restart_and_a_different_file_is_only_reported(world: World) -> None:
     start(world, ["alpha"])
     assert apply(world, policy(world, "700ms")).get("outcome") == "applied"
     world.daemons.pop("alpha").close()
@@ -136,7 +136,7 @@
     assert manage(world, n.CMD_LIST).rows[0].get("settings_file") == "differs"
 
 
-def test_a_spoilt_record_ends_the_start_with_its_file_and_what_to_do(world: World) -> None:
+def test_a_corrupt_record_stops_the_start_with_its_path(world: World) -> None:
     start(world, ["alpha"])
     world.daemons.pop("alpha").close()
     path = world.folder / "alpha" / "revisions"
@@ -145,10 +145,10 @@
         world.daemon("alpha", wait=False)
 
 
-def test_while_a_scheduler_catches_up_its_decisions_stand_still(
+def test_while_a_scheduler_catches_up_its_decisions_are_held(
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards against tasks that were sent anew, after a pause, by settings that had been replaced meanwhile.
+    # Guards against sending tasks again after a pause by settings that were replaced during it.
     start(world, ["alpha"])
     daemon = world.daemons["alpha"]
     world.until(lambda: len(daemon.nodes.entries) == 1)
@@ -170,25 +170,25 @@
     world.until(lambda: world.row(job).get("placement") == "placed")
 
 
-def test_a_process_that_stood_still_hears_of_it_before_its_jobs_do(
+def test_a_pause_of_the_process_is_handled_before_events_of_its_jobs(
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     (service,) = start(world, ["alpha"]).values()
     told: list[str] = []
     monkeypatch.setattr(service, "hold", told.append)
-    monkeypatch.setattr(service.revisions, "_last_ns", world.loop.now_ns() - 9_000_000_000)
+    monkeypatch.setattr(service.revisions, "_last_event_ns", world.loop.now_ns() - 9_000_000_000)
     service._site.tell_owner(own.TimerFired(1))
     assert told and "stood still" in told[0]
 
 
-def test_without_voters_operators_hear_that_the_file_is_the_policy(world: World) -> None:
+def test_without_voters_operators_are_told_that_the_file_is_the_policy(world: World) -> None:
     world.daemon("alpha")
     reply = manage(world, n.CMD_LIST)
     assert reply.code == n.INVALID_REQUEST and "its file is its policy" in reply.text
 
 
 class Host:
-    """Notes what is to be done, in order; its disk is full as long as `full`."""
+    """Records the calls in order; storing fails while `full` is set."""
 
     def __init__(self) -> None:
         self.done: list[str] = []
@@ -218,7 +218,7 @@
         self.done.append("tell")
 
 
-def test_what_follows_a_record_that_could_not_be_kept_waits_and_messages_are_lost(world: World) -> None:
+def test_actions_after_a_record_that_could_not_be_stored_wait_and_messages_are_lost(world: World) -> None:
     (service,) = start(world, ["alpha"]).values()
     peers, host = service._peers.carrier, Host()
     sent: list[Any] = []
@@ -240,7 +240,7 @@
     carrier.close()
 
 
-def test_a_client_that_went_away_does_not_keep_the_answer_from_being_told(world: World) -> None:
+def test_a_client_that_disconnects_does_not_block_the_answer(world: World) -> None:
     service = start(world, ["alpha", "beta", "gamma"])["gamma"]
     client = BatchClient(world.loop, world.public, "tester")
     body = Attr("body", policy(world, "700ms").decode())
--- a/tests/revision/test_ballots.py
+++ b/tests/revision/test_ballots.py
@@ -1,4 +1,4 @@
-"""Ballots: every schedule within small bounds, and planted faults that the search must find."""
+"""Ballots: exhaustive search of all schedules within small bounds, and injected faults that it must find."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     found = exhaustive(Bounds(numbers=1, ballots=(1, 1)))
     assert not found.broken, (found.broken, found.trace)
     assert found.whole and found.states == 2_786
-    assert len(found.chosen) == 2  # either operator's may win
+    assert len(found.chosen) == 2  # the value of either operator
 
 
 def test_no_schedule_breaks_the_chain_of_two_revisions() -> None:
@@ -41,14 +41,14 @@
 
 
 class ForgetsPromises(Ledger):
-    """A promise is not kept on disk."""
+    """Injected fault: a promise is not stored on disk."""
 
     def record_promise(self, ballot: Ballot) -> None:
         self.promised = ballot
 
 
 class ForgetsAcceptances(Ledger):
-    """An acceptance is not kept on disk."""
+    """Injected fault: an acceptance is not stored on disk."""
 
     def record_acceptance(self, ballot: Ballot, header: Header, body: bytes) -> None:
         super().record_acceptance(ballot, header, body)
@@ -56,7 +56,7 @@
 
 
 class AnswersFirst(Voter):
-    """The answer leaves before the record is on disk."""
+    """Injected fault: the answer is sent before the record is on disk."""
 
     def on_accept(self, accept: Accept, body: bytes | None) -> None:
         super().on_accept(accept, body)
@@ -76,7 +76,7 @@
 
 
 class HidesAcceptances(Voter):
-    """A promise does not say what was accepted before."""
+    """Injected fault: a promise does not report the value accepted earlier."""
 
     def on_prepare(self, prepare: Prepare) -> None:
         self._ledger.accepted = None
@@ -84,7 +84,7 @@
 
 
 class KeepsItsOwnValue(PaxosInstance):
-    """A proposer proposes its own value whatever voters have accepted."""
+    """Injected fault: the proposer always proposes its own value."""
 
     def _select_value(self, now: int) -> None:
         self._promises.clear()
@@ -92,7 +92,7 @@
 
 
 class TakesTheLowestValue(PaxosInstance):
-    """Of the values that voters have accepted it proposes the one of the lowest ballot."""
+    """Injected fault: of the accepted values the proposer selects the one with the lowest ballot."""
 
     def _select_value(self, now: int) -> None:
         accepted = [each for each in self._promises.values() if each.accepted is not None]
@@ -110,17 +110,17 @@
 
 
 def name_of(parts: Parts) -> str:
-    planted = (parts.ledger, parts.voter, parts.decision)
-    return next(each.__name__ for each in planted if each.__module__ == __name__)
+    replaced = (parts.ledger, parts.voter, parts.decision)
+    return next(each.__name__ for each in replaced if each.__module__ == __name__)
 
 
 @pytest.mark.parametrize("parts", SHALLOW, ids=name_of)
-def test_the_search_finds_a_planted_fault(parts: Parts) -> None:
+def test_the_search_finds_an_injected_fault(parts: Parts) -> None:
     assert exhaustive(Bounds(states=10_000), parts).broken
 
 
 @pytest.mark.parametrize("parts", SHALLOW[:1] + SHALLOW[-2:], ids=name_of)
-def test_random_schedules_find_a_planted_fault(parts: Parts) -> None:
+def test_random_schedules_find_an_injected_fault(parts: Parts) -> None:
     assert at_random(500, 1, parts=parts).broken
 
 
@@ -172,7 +172,7 @@
     context, _, voter = voter_with(Record())
     voter.on_head_is(HeadIs(1, "w:1", 4, 5))
     voter.on_prepare(Prepare(1, Ballot(1, 1), "p:1"))
-    assert context.actions == []  # one of two others is no majority's witness
+    assert context.actions == []  # one answer does not overlap with every majority
     voter.on_head_is(HeadIs(1, "x:1", 3, 3))
     stored = [action.record for action in context.actions if isinstance(action, Store)]
     assert [record.votes_from for record in stored] == [7]
--- a/tests/revision/test_fleet.py
+++ b/tests/revision/test_fleet.py
@@ -1,4 +1,4 @@
-"""Emulated fleets: what operators are told in each hard case, who acts by what, and a judge that can fail."""
+"""Emulated fleets: the outcomes that operators get, the active revisions, and tests of the judge itself."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from ladderhub.revision.activation import Activation
 from ladderhub.revision.messages import Head, Header, Headers
 from ladderhub.revision.opinions import Opinions
-from ladderhub.revision.sync import TRIES_MOST
+from ladderhub.revision.sync import MAX_TRIES
 from ladderhub.revision.types import (
     Applied, Invalid, LostTo, NoMajority, Notice, Outcome, Refused, StaleParent, Unchanged,
 )  # fmt: skip
@@ -21,7 +21,7 @@
 
 
 class Bench(Play):
-    """A small fleet that has decided its first revision; some members may refuse some bodies."""
+    """A small fleet with a chosen first revision; `refusals` makes members report faults of bodies."""
 
     def __init__(self, count: int = 5, loss: float = 0.0, voters: int = 3) -> None:
         self.refusals: dict[tuple[str, bytes], str] = {}
@@ -81,7 +81,7 @@
     assert numbers == {2, 3} and bench.active() == {3}
 
 
-def test_one_that_is_made_from_an_old_revision_is_told_so_at_once() -> None:
+def test_a_request_with_an_old_parent_is_answered_at_once() -> None:
     bench = Bench()
     old = bench.digest()
     bench.ask(3, b"new", old, 1)
@@ -92,11 +92,11 @@
     assert isinstance(stale, StaleParent) and stale.current is not None and stale.current.number == 2
 
 
-def test_one_that_is_made_from_a_revision_that_is_not_known_here_yet_is_not_turned_away() -> None:
+def test_a_request_with_a_parent_that_is_not_known_here_yet_is_not_refused() -> None:
     bench = Bench()
     bench.cut({4}, round(1.2 * S))
     bench.ask(0, b"new", None, 1)
-    bench.wait(1.15)  # chosen without it after a second, and the cut is about to end
+    bench.wait(1.15)  # chosen without it after a second; the partition is about to end
     host, newest = bench.hosts[4], bench.digest(0)
     assert bench.digest(4) != newest
     host.feed(HeadSeen(bench.addresses["s0"], bench.hosts[0].revisions.head(bench.net.now)))
@@ -106,7 +106,7 @@
     assert isinstance(bench.outcome(2), Applied) and isinstance(bench.outcome(3), StaleParent)
 
 
-def test_the_same_again_changes_nothing() -> None:
+def test_applying_the_same_body_again_changes_nothing() -> None:
     bench = Bench()
     for number in (1, 2):
         bench.ask(3, b"new", None, number)
@@ -135,7 +135,7 @@
     status = bench.hosts[4].revisions.status(bench.net.now)
     assert status.fault == "no such kind of node" and status.head == outcome.header
     assert bench.hosts[4].active == [1] and bench.judge.notices[Notice.CANNOT_ACTIVATE] == 1
-    bench.ask(0, b"better", None, 1)  # the next one it can take
+    bench.ask(0, b"better", None, 1)  # the next body has no fault there
     bench.wait(2.0)
     assert bench.active() == {3}
 
@@ -166,7 +166,7 @@
         assert living == {max(bench.judge.chosen)} and not bench.judge.broken, left
 
 
-def test_one_that_starts_late_from_nothing_or_an_old_record_acts_by_the_newest_before_it_decides() -> None:
+def test_a_late_start_without_or_with_an_old_record_activates_the_newest_before_deciding() -> None:
     bench = Bench()
     bench.crash(4, 15 * S)
     bench.crash(3, 15 * S, keep_disk=False)
@@ -179,10 +179,10 @@
         assert host.alive and host.held
     bench.wait(1.0)
     assert bench.active() == {11} and not bench.hosts[3].held and not bench.hosts[4].held
-    assert set(bench.hosts[4].active) <= {1, 11}  # what its last life acted by, then the newest
+    assert set(bench.hosts[4].active) <= {1, 11}  # the revision of its previous life, then the newest
 
 
-def test_one_that_wakes_holds_decisions_until_it_has_caught_up() -> None:
+def test_a_scheduler_holds_decisions_after_a_pause_until_it_has_caught_up() -> None:
     bench = Bench()
     bench.pause(4, 5 * S)
     bench.wait(1.0)
@@ -194,7 +194,7 @@
     assert bench.judge.notices[Notice.CAUGHT_UP] == 6
 
 
-def test_one_that_reaches_nobody_goes_on_after_three_seconds_and_says_how_old_that_is() -> None:
+def test_an_isolated_scheduler_resumes_after_three_seconds_and_reports_the_age() -> None:
     settings = RevisionSettings("a", 1, "h:1", ("h:1", "h:2", "h:3"), b"file")
     revisions = Revisions(settings, None, 1)
     actions = [action for at in range(0, 40) for action in revisions.handle(at * 100 * MS, Tick())]
@@ -221,7 +221,7 @@
     assert all(isinstance(bench.outcome(number), Invalid) for number in (1, 2, 3))
 
 
-def test_hostile_words_of_what_was_chosen_change_nothing() -> None:
+def test_hostile_messages_about_chosen_revisions_change_nothing() -> None:
     bench = Bench()
     host, digest = bench.hosts[3], bench.digest()
     forged = Header(1, bytes(16), "eve", 1, "", bytes(16))
@@ -237,7 +237,7 @@
     assert bench.active() == {2}
 
 
-def test_one_that_always_claims_a_newer_head_and_never_shows_it_costs_little(
+def test_a_peer_that_claims_a_newer_head_but_never_sends_it_costs_little(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     bench, asked = Bench(), list[str]()
@@ -251,7 +251,7 @@
     for _ in range(90):
         bench.wait(0.1)
         bench.hosts[3].feed(HeadSeen("h:9", Head(1 << 30, bytes(8), 0)))
-    assert 0 < asked.count("h:9") <= TRIES_MOST
+    assert 0 < asked.count("h:9") <= MAX_TRIES
 
 
 @pytest.mark.parametrize("voters", [1, 5])
@@ -291,7 +291,7 @@
     assert any("was not chosen" in each for each in bench.judge.broken)
 
 
-def test_the_judge_fails_where_an_older_one_is_acted_by_after_a_newer(
+def test_the_judge_fails_where_an_older_revision_is_activated_after_a_newer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     bench = Bench()
@@ -301,12 +301,12 @@
     activation = host.revisions._activation
     monkeypatch.setattr(Activation, "progress", lambda self: self._activate(bench.judge.chosen[1], b""))
     host.feed(Tick())
-    assert any("in one life" in each for each in bench.judge.broken) and activation.acting is not None
+    assert any("in one life" in each for each in bench.judge.broken) and activation.active is not None
 
 
 def lose_a_record() -> Bench:
-    """The first voter and the second choose a revision; the first loses its record while the second sleeps,
-    and the third, which has heard nothing of it, wants another."""
+    """The first and the second voter choose a revision.  The first loses its record while the second is
+    paused, and the third, which does not know the revision, proposes another one."""
     bench = Bench(count=3)
     bench.cut({2}, 2 * S)
     bench.ask(0, b"chosen", None, 1)
@@ -324,9 +324,8 @@
     assert isinstance(bench.outcome(1), Applied) and isinstance(bench.outcome(2), NoMajority)
     bench.wait(8.0)
     assert not bench.judge.broken and bench.active() == {2}
-    bench.ask(
-        2, b"another", None, 3
-    )  # the number after the next is the first that the forgetful one votes on
+    # The voter that lost its record votes again from the number after the next.
+    bench.ask(2, b"another", None, 3)
     bench.wait(3.0)
     assert isinstance(bench.outcome(3), Applied) and bench.active() == {3}
 
--- a/tests/revision/test_parts.py
+++ b/tests/revision/test_parts.py
@@ -1,4 +1,4 @@
-"""Records on disk, bodies in pieces, and what a spoilt or hostile part of either does."""
+"""Records on disk and bodies in pieces, also corrupt and hostile ones."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import pytest
 
 from ladderhub.revision import Record, RevisionSettings, decode_record, encode_record
-from ladderhub.revision.bodies import BODIES_KEPT, Bodies, Downloads, offer_pieces
+from ladderhub.revision.bodies import MAX_BODIES, BodyCache, Downloads, send_pieces
 from ladderhub.revision.content import NO_DIGEST, body_digest, digest_of, from_pieces, to_pieces
 from ladderhub.revision.context import Context
 from ladderhub.revision.messages import MAX_BODY_BYTES, Ballot, FetchPieces, Header, Piece
@@ -32,7 +32,7 @@
     assert decode_record(encode_record(Record())) == Record()
 
 
-def test_a_record_that_was_cut_or_changed_anywhere_is_spoilt() -> None:
+def test_a_record_that_was_truncated_or_changed_anywhere_is_rejected() -> None:
     data, rng = encode_record(record()), random.Random(2)
     for _ in range(300):
         changed = bytearray(data)
@@ -43,7 +43,7 @@
             decode_record(data[: rng.randrange(len(data))])
 
 
-def test_a_record_whose_parts_do_not_fit_together_is_spoilt() -> None:
+def test_a_record_with_inconsistent_fields_is_rejected() -> None:
     good = record()
     unlinked = (good.headers[0], header(2, NO_DIGEST))
     for wrong in (Record(headers=unlinked), Record(headers=good.headers, body=b"another")):
@@ -51,7 +51,7 @@
             decode_record(encode_record(wrong))
 
 
-def test_a_body_that_is_too_long_or_not_what_its_digest_says_is_no_body() -> None:
+def test_a_body_that_is_too_long_or_does_not_match_its_digest_is_rejected() -> None:
     assert from_pieces(list(to_pieces(BODY)), body_digest(BODY)) == BODY
     assert from_pieces(list(to_pieces(BODY))[:-1], body_digest(BODY)) is None
     assert from_pieces([b"no zlib at all"], body_digest(BODY)) is None
@@ -61,27 +61,27 @@
         to_pieces(random.Random(1).randbytes(100_000))
 
 
-def test_no_more_than_so_many_bodies_are_kept() -> None:
-    bodies = Bodies()
-    for at in range(3 * BODIES_KEPT):
+def test_the_body_cache_is_bounded() -> None:
+    bodies = BodyCache()
+    for at in range(3 * MAX_BODIES):
         bodies.put(bytes([at]), bytes(at))
-    assert [bodies.get(bytes([at])) is not None for at in (0, 2 * BODIES_KEPT, 3 * BODIES_KEPT - 1)] == [
+    assert [bodies.get(bytes([at])) is not None for at in (0, 2 * MAX_BODIES, 3 * MAX_BODIES - 1)] == [
         False, True, True,
     ]  # fmt: skip
 
 
 class Fetching:
-    """One that downloads, from sources that may lose, spoil or lack pieces."""
+    """Downloads a body from sources that may lose or corrupt pieces or lack the body."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
-        self.bodies = Bodies()
+        self.bodies = BodyCache()
         self.context = Context(RevisionSettings("a", 1, "h:1", ("h:1",), b""), seed)
         self.context.addresses = {"b": "h:2", "c": "h:3"}
         self.downloads = Downloads(self.context, self.bodies)
         self.now = 0
 
-    def run(self, loss: float, spoilt: set[str], lacking: set[str]) -> bytes | None:
+    def run(self, loss: float, corrupt: set[str], lacking: set[str]) -> bytes | None:
         source = Context(RevisionSettings("b", 1, "h:2", ("h:1",), b""), 1)
         for _ in range(2000):
             self.now += 10 * MS
@@ -90,41 +90,41 @@
             for action in sent:
                 assert isinstance(action, Send) and isinstance(action.message, FetchPieces)
                 offered = None if action.address in lacking else BODY
-                offer_pieces(source, Bodies(), offered, action.message)
+                send_pieces(source, BodyCache(), offered, action.message)
                 answers, source.actions = source.actions, []
                 for answer in answers:
                     assert isinstance(answer, Send)
                     if self.random.random() >= loss:
-                        self._take(answer, action.address in spoilt)
+                        self._take(answer, action.address in corrupt)
             if self.bodies.get(body_digest(BODY)) is not None:
                 break
         return self.bodies.get(body_digest(BODY))
 
-    def _take(self, answer: Send, spoil: bool) -> None:
+    def _take(self, answer: Send, corrupt: bool) -> None:
         message = answer.message
         if isinstance(message, Piece):
-            data = bytes(len(message.data)) if spoil else message.data
+            data = bytes(len(message.data)) if corrupt else message.data
             self.downloads.on_piece(self.now, Piece(message.nonce, message.index, message.total, data))
         else:
             self.downloads.on_lacking(self.now, message)  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_body_comes_through_loss_from_the_source_that_has_it(seed: int) -> None:
+def test_a_body_is_downloaded_despite_loss_from_the_source_that_has_it(seed: int) -> None:
     fetching = Fetching(seed)
-    fetching.downloads.want(0, body_digest(BODY), ("h:3", "h:2"))
+    fetching.downloads.fetch(0, body_digest(BODY), ("h:3", "h:2"))
     assert fetching.run(0.3, set(), set()) == BODY
 
 
-def test_a_source_that_spoils_and_one_that_lacks_it_are_left_for_another() -> None:
+def test_a_source_with_corrupt_pieces_and_one_without_the_body_are_replaced() -> None:
     fetching = Fetching(1)
-    fetching.downloads.want(0, body_digest(BODY), ("h:4", "h:3", "h:2"))
+    fetching.downloads.fetch(0, body_digest(BODY), ("h:4", "h:3", "h:2"))
     assert fetching.run(0.1, {"h:2"}, {"h:3"}) == BODY
-    assert fetching.downloads.spoilt == 1
+    assert fetching.downloads.corrupt_count == 1
 
 
 def test_pieces_that_nobody_asked_for_change_nothing() -> None:
     fetching = Fetching(1)
-    fetching.downloads.want(0, body_digest(BODY), ("h:2",))
+    fetching.downloads.fetch(0, body_digest(BODY), ("h:2",))
     assert fetching.downloads.on_piece(0, Piece(12345, 0, 1, to_pieces(BODY)[0])) is None
     assert fetching.run(0.0, set(), set()) == BODY
--- a/tests/revision/test_voters.py
+++ b/tests/revision/test_voters.py
@@ -1,4 +1,4 @@
-"""Voters without a record: a fresh fleet always begins, and what one forgot no other counts as known."""
+"""Voters without a record: a new fleet always chooses a first revision, and votes that may be lost count."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 
 
 class Group:
-    """Five fresh voters that start one after the other; messages take up to `most_ns`."""
+    """Five new voters that start at random times; messages take up to `max_delay_ns`."""
 
-    def __init__(self, seed: int, most_ns: int) -> None:
-        self._random, self._most_ns = random.Random(seed), most_ns
+    def __init__(self, seed: int, max_delay_ns: int) -> None:
+        self._random, self._max_delay_ns = random.Random(seed), max_delay_ns
         self._queue: list[tuple[int, int, str, Event]] = []
         self._count = count()
         self._schedulers = {name: scheduler(name) for name in NAMES}
@@ -52,7 +52,7 @@
     def _carry(self, now: int, name: str, action: Action) -> None:
         if isinstance(action, Send):
             to = next(each for each, address in NAMES.items() if address == action.address)
-            late = self._random.randrange(MS, self._most_ns)
+            late = self._random.randrange(MS, self._max_delay_ns)
             self._add(now + late, to, MessageReceived(name, 1, action.message))
         elif isinstance(action, WakeAt):
             self._add(action.at_ns, name, Tick())
@@ -63,37 +63,37 @@
 
 
 @pytest.mark.parametrize("seed", range(25))
-def test_a_fresh_fleet_comes_to_its_first_revision_however_its_voters_start(seed: int) -> None:
-    # Guards against a first voter that promised before the others knew that they had never voted: those then
-    # voted from number 3 on, and number 1 never had a majority.
+def test_a_new_fleet_activates_its_first_revision_however_its_voters_start(seed: int) -> None:
+    # Guards against a voter that makes a promise before the others know that they have never voted: they then
+    # vote only from number 3 on, and number 1 never gets a majority.
     group = Group(seed, (2, 20, 120)[seed % 3] * MS)
     group.run(20 * S)
     assert group.active == dict.fromkeys(NAMES, 1)
 
 
-def told_accepted(revisions: Revisions, now: int) -> int | None:
-    """What it tells whoever asks."""
+def ask_accepted(revisions: Revisions, now: int) -> int | None:
+    """Return the accepted number in the answer to `AskHead`."""
     ask = MessageReceived("s4", 1, AskHead(7, VOTERS[4]))
     answers = [each.message for each in revisions.handle(now, ask) if isinstance(each, Send)]
     return next(each.accepted for each in answers if isinstance(each, HeadIs) and each.nonce == 7)
 
 
-def test_what_a_voter_may_have_forgotten_counts_as_voted_for_others_that_forgot() -> None:
-    # Guards against two voters that lose their records one after the other: the second would take the first
-    # one's word for that nothing was voted on, and vote on a number that had been chosen with its own vote.
+def test_votes_that_a_voter_may_have_lost_are_reported_as_cast() -> None:
+    # Guards against two voters that lose their records one after the other: the second concludes from the
+    # answer of the first that nobody has voted, and votes on a number that was chosen with its own vote.
     revisions = scheduler("s0", life=2)
     asked = [each.message for each in revisions.handle(0, Tick()) if isinstance(each, Send)]
     nonce = next(each.nonce for each in asked if isinstance(each, AskHead))
-    assert told_accepted(revisions, MS) is None
+    assert ask_accepted(revisions, MS) is None
     for at, accepted in ((1, 1), (2, 0), (3, 0)):
         revisions.handle(2 * MS, MessageReceived(f"s{at}", 1, HeadIs(nonce, VOTERS[at], 0, accepted)))
-    told = told_accepted(revisions, 3 * MS)
+    told = ask_accepted(revisions, 3 * MS)
     assert told is not None and told >= 2
 
 
-def test_a_promise_on_the_first_number_shows_that_a_vote_may_be_forgotten() -> None:
-    # Guards against a voter that accepted number 1, lost its record while the others' acceptances were on the
-    # way, took the fleet for new and gave the majority to another first revision.
+def test_a_promise_on_the_first_number_shows_that_a_vote_may_be_lost() -> None:
+    # Guards against a voter that accepts number 1 and loses its record while the acceptances of the others
+    # are in flight: it takes the fleet for new and gives another first revision a majority.
     revisions = scheduler("s0")
     asked = [each.message for each in revisions.handle(0, Tick()) if isinstance(each, Send)]
     nonce = next(each.nonce for each in asked if isinstance(each, AskHead))
@@ -101,10 +101,10 @@
     for at in (1, 2, 3):
         revisions.handle(MS, MessageReceived(f"s{at}", 1, HeadIs(nonce, VOTERS[at], 0, None)))
     revisions.handle(MS, MessageReceived("s4", 1, HeadIs(nonce, VOTERS[4], 0, 0)))
-    assert told_accepted(revisions, 2 * MS) == 0
+    assert ask_accepted(revisions, 2 * MS) == 0
     promises = [each for each in revisions.handle(3 * MS, prepare) if isinstance(each, Send)]
     assert not any(isinstance(each.message, Promise) for each in promises)  # two of five may vote
     revisions.handle(4 * MS, MessageReceived("s1", 1, HeadIs(nonce, VOTERS[1], 0, 0)))
     promises = [each for each in revisions.handle(5 * MS, prepare) if isinstance(each, Send)]
     assert any(isinstance(each.message, Promise) for each in promises)
-    assert told_accepted(revisions, 6 * MS) == 1
+    assert ask_accepted(revisions, 6 * MS) == 1
