--- a/ladderhub/lab/scale/hollow_schedulers.py
+++ b/ladderhub/lab/scale/hollow_schedulers.py
@@ -25,7 +25,7 @@
 from ladderhub.membership import LeaseHolder, LeaseSettings, MemberSettings, MembershipView
 from ladderhub.membership.types import MembershipSummary, Stop
 from ladderhub.peers.carrier import PeerCarrier, PeerError
-from ladderhub.peers.revisions import RevisionCarrier
+from ladderhub.peers.revisions import RevisionExecutor
 from ladderhub.revision import Notice, Record, Revision, Revisions, RevisionSettings
 from ladderhub.revision.types import Outcome
 from ladderhub.server.settings import span_ns
@@ -157,7 +157,7 @@
             identity.name, identity.life, identity.advertise, tuple(plan.electors), NO_POLICY
         )
         revisions = Revisions(settings, None, identity.seed)
-        self._revision_carrier = RevisionCarrier(self.carrier, revisions, self.follower)
+        self._revision_carrier = RevisionExecutor(self.carrier, revisions, self.follower)
         self._revision_carrier.join(self._dispatcher.register(revisions, self._revision_carrier))
 
     def _on_tick(self) -> None:
--- a/ladderhub/peers/revisions.py
+++ b/ladderhub/peers/revisions.py
@@ -43,7 +43,7 @@
         """Log a notice."""
 
 
-class RevisionCarrier:
+class RevisionExecutor:
     """Connects the revision decisions with the peers and the host.
 
     While a record could not be stored, later messages are dropped as if the network had lost them, and all
@@ -144,4 +144,4 @@
 
 
 def _not_joined(event: Event) -> None:
-    raise RuntimeError("event before RevisionCarrier.join")
+    raise RuntimeError("event before RevisionExecutor.join")
--- a/ladderhub/server/revisions.py
+++ b/ladderhub/server/revisions.py
@@ -8,7 +8,7 @@
 
 from ladderhub.errors import LadderhubError
 from ladderhub.pbs.batch import Attr
-from ladderhub.peers.revisions import RevisionCarrier
+from ladderhub.peers.revisions import RevisionExecutor
 from ladderhub.revision import (
     Apply, Notice, Record, Revision, Revisions, RevisionSettings, Tick, decode_record, encode_record,
 )  # fmt: skip
@@ -87,7 +87,7 @@
         self.revisions = Revisions(settings, record, site.settings.file.seed)
         site.revision = PolicyRevision(NO_REVISION, body_digest(own_body))
         self._tell: Callable[[Event], None] | None = None
-        self._carrier: RevisionCarrier | None = None
+        self._carrier: RevisionExecutor | None = None
         self._waiting: dict[int, _Request] = {}
         self._next_request = 1
         self._logged = record.headers[-1].number if record is not None and record.headers else 0
@@ -100,7 +100,7 @@
     # --- as a part --------------------------------------------------------------------------------------
 
     def start(self) -> None:
-        carrier = RevisionCarrier(self._peers.carrier, self.revisions, self)
+        carrier = RevisionExecutor(self._peers.carrier, self.revisions, self)
         self._carrier = carrier
         tell = self._site.dispatcher.register(self.revisions, carrier)
         self._tell = self._site.processor.bind(Cause.CONFIGURATION, tell)
--- a/tests/peers/test_revisions.py
+++ b/tests/peers/test_revisions.py
@@ -17,7 +17,7 @@
 from ladderhub.owner import types as own
 from ladderhub.pbs import names as n
 from ladderhub.pbs.batch import Attr, Reply, Request, Row
-from ladderhub.peers.revisions import RevisionCarrier
+from ladderhub.peers.revisions import RevisionExecutor
 from ladderhub.revision import Answer, Notice, Notify, Record, Resume, Revision, Send, Store
 from ladderhub.revision.messages import AskHead, Header
 from ladderhub.revision.types import Outcome, Unchanged
@@ -223,7 +223,7 @@
     peers, host = service._peers.carrier, Host()
     sent: list[Any] = []
     peers.send = lambda address, message: sent.append(message)  # type: ignore[method-assign]
-    carrier = RevisionCarrier(peers, service.revisions, host)
+    carrier = RevisionExecutor(peers, service.revisions, host)
     header = Header(1, bytes(16), "ann", 0, "", bytes(16))
     host.full = True
     for action in (
