--- a/ladderhub/revision/activation.py
+++ b/ladderhub/revision/activation.py
@@ -29,7 +29,7 @@
     def _try_activate(self, header: Header, body: bytes) -> None:
         if self.active is not None and header.number <= self.active.number:
             return
-        fault = self._opinions.find_fault(header.body)
+        fault = self._opinions.get_fault(header.body)
         if fault is None:
             self._opinions.check(header.body, body)
         elif fault:
--- a/ladderhub/revision/opinions.py
+++ b/ladderhub/revision/opinions.py
@@ -27,7 +27,7 @@
         self._checking: set[bytes] = set()
         self._proposers: dict[bytes, list[str]] = {}  # waiting, by bodies without an opinion yet
 
-    def find_fault(self, digest: bytes) -> str | None:
+    def get_fault(self, digest: bytes) -> str | None:
         """Return the fault of a body: empty if it has none, None if it is not checked yet."""
         found = self._faults.get(digest)
         return None if found is None else found[0]
--- a/ladderhub/revision/record.py
+++ b/ladderhub/revision/record.py
@@ -25,7 +25,7 @@
 def decode_record(data: bytes) -> Record:
     """Decode a record; raises ValueError if it is truncated, corrupt or of another version."""
     if not data.startswith(MAGIC):
-        raise ValueError("it does not begin as a record of revisions")
+        raise ValueError("it does not start with the magic bytes of a record of revisions")
     checksum, content = data[len(MAGIC) : len(MAGIC) + CHECKSUM_BYTES], data[len(MAGIC) + CHECKSUM_BYTES :]
     if blake2b(content, digest_size=CHECKSUM_BYTES).digest() != checksum:
         raise ValueError("its checksum does not match")
@@ -34,7 +34,7 @@
     except msgspec.DecodeError as fault:
         raise ValueError(str(fault)) from None
     if not _is_consistent(record):
-        raise ValueError("its parts do not fit together")
+        raise ValueError("its fields are inconsistent")
     return record
 
 
--- a/ladderhub/revision/requests.py
+++ b/ladderhub/revision/requests.py
@@ -131,7 +131,7 @@
                 request.body_holders.append(request.silent.pop(name))
 
     def on_own_opinion(self, digest: bytes) -> None:
-        fault = self._opinions.find_fault(digest)
+        fault = self._opinions.get_fault(digest)
         for request in list(self.waiting):
             if request.digest == digest:
                 request.has_own_opinion = True
--- a/ladderhub/revision/voter.py
+++ b/ladderhub/revision/voter.py
@@ -47,7 +47,7 @@
         return max(known, ledger.votes_from - 1)  # may have voted on lower numbers in a lost record
 
     def start(self) -> None:
-        """Start without a record: the other voters are asked; a single voter has nobody to ask."""
+        """Start this life; without a record, a single voter may vote at once and others wait for answers."""
         if self.is_voter and self._ledger.votes_from is None:
             self._context.notify(Notice.NOT_VOTING, "no record of earlier votes: the other voters are asked")
             self._determine_votes_from()
--- a/tests/peers/test_revisions.py
+++ b/tests/peers/test_revisions.py
@@ -68,7 +68,7 @@
 def manage(world: World, command: int, name: str = "", **attrs: str) -> Reply:
     listed = [Attr(key, value) for key, value in attrs.items()]
     request = Request(n.MANAGER, "ann", name=name, attrs=listed, command=command, object_type=n.OBJ_POLICY)
-    return world.ask(lambda client, told: client.send(request, told))
+    return world.ask(lambda client, on_reply: client.send(request, on_reply))
 
 
 def apply(world: World, body: bytes, **attrs: str) -> Row:
@@ -109,7 +109,7 @@
     unknown = manage(world, n.CMD_LIST, "7")
     assert unknown.code == n.BAD_ATTRIBUTE_VALUE and "one of 1 to 1 is meant" in unknown.text
     assert manage(world, n.CMD_DELETE, "1").code == n.BAD_ATTRIBUTE_VALUE
-    server = world.ask(lambda client, told: client.send(Request(n.STATUS_SERVER), told)).rows[0]
+    server = world.ask(lambda client, on_reply: client.send(Request(n.STATUS_SERVER), on_reply)).rows[0]
     assert server.get("revision").startswith("1 ") and server.get("revision_state") == "in force"
     page = world.daemons["gamma"].metrics.page()[2].decode()
     assert "ladderhub_revision_active 1.0" in page and "ladderhub_revision_age_seconds" in page
@@ -152,21 +152,21 @@
     start(world, ["alpha"])
     daemon = world.daemons["alpha"]
     world.until(lambda: len(daemon.nodes.entries) == 1)
-    daemon.site.hold("told so by this test")
-    heard: list[api.Event] = []
+    daemon.site.hold("held by this test")
+    handled: list[api.Event] = []
     handle = daemon.module.handle
 
-    def heard_first(now_ns: int, event: api.Event) -> list[api.Action]:
-        heard.append(event)
+    def record_and_handle(now_ns: int, event: api.Event) -> list[api.Action]:
+        handled.append(event)
         return handle(now_ns, event)
 
-    monkeypatch.setattr(daemon.module, "handle", heard_first)
+    monkeypatch.setattr(daemon.module, "handle", record_and_handle)
     job = world.submit("web")
     daemon.site.tell_module(api.TimerFired(0))
     world.run_for(200_000_000)
-    assert not heard and "told so by this test" in world.row(job).get("comment")
+    assert not handled and "held by this test" in world.row(job).get("comment")
     daemon.site.resume()
-    assert isinstance(heard[0], api.TimerFired)
+    assert isinstance(handled[0], api.TimerFired)
     world.until(lambda: world.row(job).get("placement") == "placed")
 
 
@@ -174,11 +174,11 @@
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     (service,) = start(world, ["alpha"]).values()
-    told: list[str] = []
-    monkeypatch.setattr(service, "hold", told.append)
+    hold_reasons: list[str] = []
+    monkeypatch.setattr(service, "hold", hold_reasons.append)
     monkeypatch.setattr(service.revisions, "_last_event_ns", world.loop.now_ns() - 9_000_000_000)
     service._site.tell_owner(own.TimerFired(1))
-    assert told and "stood still" in told[0]
+    assert hold_reasons and "stood still" in hold_reasons[0]
 
 
 def test_without_voters_operators_are_told_that_the_file_is_the_policy(world: World) -> None:
@@ -215,7 +215,7 @@
         self.done.append("resume")
 
     def notify(self, notice: Notice, text: str) -> None:
-        self.done.append("tell")
+        self.done.append("notify")
 
 
 def test_actions_after_a_record_that_could_not_be_stored_wait_and_messages_are_lost(world: World) -> None:
@@ -234,7 +234,7 @@
         carrier.execute(0, action)
     assert not host.done and not sent
     host.full = False
-    world.until(lambda: host.done == ["store", "answer 1", "resume", "tell"])
+    world.until(lambda: host.done == ["store", "answer 1", "resume", "notify"])
     carrier.execute(0, Send("127.0.0.1:9", AskHead(2, "127.0.0.1:9")))
     assert [message.nonce for message in sent] == [2]
     carrier.close()
--- a/tests/revision/test_ballots.py
+++ b/tests/revision/test_ballots.py
@@ -135,10 +135,10 @@
 
 
 def test_a_ballot_that_a_later_life_uses_again_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    begin = Context.__init__
+    original_init = Context.__init__
 
     def without_life(self: Context, settings: RevisionSettings, seed: int) -> None:
-        begin(self, settings, seed)
+        original_init(self, settings, seed)
         self.proposer_id = int(settings.name[1])
 
     monkeypatch.setattr(Context, "__init__", without_life)
--- a/tests/revision/test_fleet.py
+++ b/tests/revision/test_fleet.py
@@ -198,8 +198,8 @@
     settings = RevisionSettings("a", 1, "h:1", ("h:1", "h:2", "h:3"), b"file")
     revisions = Revisions(settings, None, 1)
     actions = [action for at in range(0, 40) for action in revisions.handle(at * 100 * MS, Tick())]
-    told = [action for action in actions if isinstance(action, Notify)]
-    notices = [action.text for action in told if action.notice is Notice.BEHIND]
+    notifications = [action for action in actions if isinstance(action, Notify)]
+    notices = [action.text for action in notifications if action.notice is Notice.BEHIND]
     assert len(notices) == 1 and notices[0].startswith("nobody answers")
     assert not revisions.is_stale(39 * 100 * MS)
 
--- a/tests/revision/test_parts.py
+++ b/tests/revision/test_parts.py
@@ -47,7 +47,7 @@
     good = record()
     unlinked = (good.headers[0], header(2, NO_DIGEST))
     for wrong in (Record(headers=unlinked), Record(headers=good.headers, body=b"another")):
-        with pytest.raises(ValueError, match="fit together"):
+        with pytest.raises(ValueError, match="its fields are inconsistent"):
             decode_record(encode_record(wrong))
 
 
--- a/tests/revision/test_voters.py
+++ b/tests/revision/test_voters.py
@@ -52,8 +52,8 @@
     def _carry(self, now: int, name: str, action: Action) -> None:
         if isinstance(action, Send):
             to = next(each for each, address in NAMES.items() if address == action.address)
-            late = self._random.randrange(MS, self._max_delay_ns)
-            self._add(now + late, to, MessageReceived(name, 1, action.message))
+            delay_ns = self._random.randrange(MS, self._max_delay_ns)
+            self._add(now + delay_ns, to, MessageReceived(name, 1, action.message))
         elif isinstance(action, WakeAt):
             self._add(action.at_ns, name, Tick())
         elif isinstance(action, CheckBody):
@@ -87,8 +87,8 @@
     assert ask_accepted(revisions, MS) is None
     for at, accepted in ((1, 1), (2, 0), (3, 0)):
         revisions.handle(2 * MS, MessageReceived(f"s{at}", 1, HeadIs(nonce, VOTERS[at], 0, accepted)))
-    told = ask_accepted(revisions, 3 * MS)
-    assert told is not None and told >= 2
+    reported = ask_accepted(revisions, 3 * MS)
+    assert reported is not None and reported >= 2
 
 
 def test_a_promise_on_the_first_number_shows_that_a_vote_may_be_lost() -> None:
