--- a/tests/peers/test_revisions.py
+++ b/tests/peers/test_revisions.py
@@ -1,4 +1,4 @@
-"""Revisions as a part of the daemon, on one loop: what operators ask, what lasts, what waits."""
+"""Revisions in the daemon, on one loop: operators' requests, stored records, and held decisions."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from ladderhub.owner import types as own
 from ladderhub.pbs import names as n
 from ladderhub.pbs.batch import Attr, Reply, Request, Row
-from ladderhub.peers.revisions import RevisionCarrier
+from ladderhub.peers.revisions import RevisionExecutor
 from ladderhub.revision import Answer, Notice, Notify, Record, Resume, Revision, Send, Store
 from ladderhub.revision.messages import AskHead, Header
 from ladderhub.revision.types import Outcome, Unchanged
@@ -35,7 +35,7 @@
 
 
 def start(world: World, names: list[str]) -> dict[str, RevisionService]:
-    """Schedulers of these names, all of them voters, and the first revision in force on each."""
+    """Start schedulers with these names, all voters, and wait until the first revision is active on each."""
     places = [f"127.0.0.1:{free_port()}" for _ in names]
     for name, place in zip(names, places, strict=True):
         world.settings["peers"] = {
@@ -58,7 +58,7 @@
 
 
 def policy(world: World, aim: str) -> bytes:
-    """The policy of the file, but for one field."""
+    """Return the policy of the settings file with another `aim`."""
     value = copy.deepcopy(world.settings)
     value["queues"]["web"]["aim"] = aim
     own = {"server": "x", "listen": "127.0.0.1:1", "directory": "127.0.0.1:2", "spool": "x"}
@@ -68,7 +68,7 @@
 def manage(world: World, command: int, name: str = "", **attrs: str) -> Reply:
     listed = [Attr(key, value) for key, value in attrs.items()]
     request = Request(n.MANAGER, "ann", name=name, attrs=listed, command=command, object_type=n.OBJ_POLICY)
-    return world.ask(lambda client, told: client.send(request, told))
+    return world.ask(lambda client, on_reply: client.send(request, on_reply))
 
 
 def apply(world: World, body: bytes, **attrs: str) -> Row:
@@ -109,7 +109,7 @@
     unknown = manage(world, n.CMD_LIST, "7")
     assert unknown.code == n.BAD_ATTRIBUTE_VALUE and "one of 1 to 1 is meant" in unknown.text
     assert manage(world, n.CMD_DELETE, "1").code == n.BAD_ATTRIBUTE_VALUE
-    server = world.ask(lambda client, told: client.send(Request(n.STATUS_SERVER), told)).rows[0]
+    server = world.ask(lambda client, on_reply: client.send(Request(n.STATUS_SERVER), on_reply)).rows[0]
     assert server.get("revision").startswith("1 ") and server.get("revision_state") == "in force"
     page = world.daemons["gamma"].metrics.page()[2].decode()
     assert "ladderhub_revision_active 1.0" in page and "ladderhub_revision_age_seconds" in page
@@ -124,7 +124,7 @@
     assert number(services["gamma"]) == 1
 
 
-def test_what_is_in_force_lasts_and_a_file_that_differs_is_told_and_not_followed(world: World) -> None:
+def test_the_active_revision_survives_a_restart_and_a_different_file_is_only_reported(world: World) -> None:
     start(world, ["alpha"])
     assert apply(world, policy(world, "700ms")).get("outcome") == "applied"
     world.daemons.pop("alpha").close()
@@ -136,7 +136,7 @@
     assert manage(world, n.CMD_LIST).rows[0].get("settings_file") == "differs"
 
 
-def test_a_spoilt_record_ends_the_start_with_its_file_and_what_to_do(world: World) -> None:
+def test_a_corrupt_record_stops_the_start_with_its_path(world: World) -> None:
     start(world, ["alpha"])
     world.daemons.pop("alpha").close()
     path = world.folder / "alpha" / "revisions"
@@ -145,50 +145,50 @@
         world.daemon("alpha", wait=False)
 
 
-def test_while_a_scheduler_catches_up_its_decisions_stand_still(
+def test_while_a_scheduler_catches_up_its_decisions_are_held(
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards against tasks that were sent anew, after a pause, by settings that had been replaced meanwhile.
+    # Guards against sending tasks again after a pause by settings that were replaced during it.
     start(world, ["alpha"])
     daemon = world.daemons["alpha"]
     world.until(lambda: len(daemon.nodes.entries) == 1)
-    daemon.site.hold("told so by this test")
-    heard: list[api.Event] = []
+    daemon.site.hold("held by this test")
+    handled: list[api.Event] = []
     handle = daemon.module.handle
 
-    def heard_first(now_ns: int, event: api.Event) -> list[api.Action]:
-        heard.append(event)
+    def record_and_handle(now_ns: int, event: api.Event) -> list[api.Action]:
+        handled.append(event)
         return handle(now_ns, event)
 
-    monkeypatch.setattr(daemon.module, "handle", heard_first)
+    monkeypatch.setattr(daemon.module, "handle", record_and_handle)
     job = world.submit("web")
     daemon.site.tell_module(api.TimerFired(0))
     world.run_for(200_000_000)
-    assert not heard and "told so by this test" in world.row(job).get("comment")
+    assert not handled and "held by this test" in world.row(job).get("comment")
     daemon.site.resume()
-    assert isinstance(heard[0], api.TimerFired)
+    assert isinstance(handled[0], api.TimerFired)
     world.until(lambda: world.row(job).get("placement") == "placed")
 
 
-def test_a_process_that_stood_still_hears_of_it_before_its_jobs_do(
+def test_a_pause_of_the_process_is_handled_before_events_of_its_jobs(
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     (service,) = start(world, ["alpha"]).values()
-    told: list[str] = []
-    monkeypatch.setattr(service, "hold", told.append)
-    monkeypatch.setattr(service.revisions, "_last_ns", world.loop.now_ns() - 9_000_000_000)
+    hold_reasons: list[str] = []
+    monkeypatch.setattr(service, "hold", hold_reasons.append)
+    monkeypatch.setattr(service.revisions, "_last_event_ns", world.loop.now_ns() - 9_000_000_000)
     service._site.tell_owner(own.TimerFired(1))
-    assert told and "stood still" in told[0]
+    assert hold_reasons and "stood still" in hold_reasons[0]
 
 
-def test_without_voters_operators_hear_that_the_file_is_the_policy(world: World) -> None:
+def test_without_voters_operators_are_told_that_the_file_is_the_policy(world: World) -> None:
     world.daemon("alpha")
     reply = manage(world, n.CMD_LIST)
     assert reply.code == n.INVALID_REQUEST and "its file is its policy" in reply.text
 
 
 class Host:
-    """Notes what is to be done, in order; its disk is full as long as `full`."""
+    """Records the calls in order; storing fails while `full` is set."""
 
     def __init__(self) -> None:
         self.done: list[str] = []
@@ -215,15 +215,15 @@
         self.done.append("resume")
 
     def notify(self, notice: Notice, text: str) -> None:
-        self.done.append("tell")
+        self.done.append("notify")
 
 
-def test_what_follows_a_record_that_could_not_be_kept_waits_and_messages_are_lost(world: World) -> None:
+def test_actions_after_a_record_that_could_not_be_stored_wait_and_messages_are_lost(world: World) -> None:
     (service,) = start(world, ["alpha"]).values()
     peers, host = service._peers.transport, Host()
     sent: list[Any] = []
     peers.send = lambda address, message: sent.append(message)  # type: ignore[method-assign]
-    carrier = RevisionCarrier(peers, service.revisions, host)
+    carrier = RevisionExecutor(peers, service.revisions, host)
     header = Header(1, bytes(16), "ann", 0, "", bytes(16))
     host.full = True
     for action in (
@@ -234,13 +234,13 @@
         carrier.execute(0, action)
     assert not host.done and not sent
     host.full = False
-    world.until(lambda: host.done == ["store", "answer 1", "resume", "tell"])
+    world.until(lambda: host.done == ["store", "answer 1", "resume", "notify"])
     carrier.execute(0, Send("127.0.0.1:9", AskHead(2, "127.0.0.1:9")))
     assert [message.nonce for message in sent] == [2]
     carrier.close()
 
 
-def test_a_client_that_went_away_does_not_keep_the_answer_from_being_told(world: World) -> None:
+def test_a_client_that_disconnects_does_not_block_the_answer(world: World) -> None:
     service = start(world, ["alpha", "beta", "gamma"])["gamma"]
     client = BatchClient(world.loop, world.public, "tester")
     body = Attr("body", policy(world, "700ms").decode())
