--- a/ladderhub/membership/probing.py
+++ b/ladderhub/membership/probing.py
@@ -127,7 +127,7 @@
                 self.context.report(Change.SUSPECTED, entry, cause)
         elif silent_periods >= detection.ISOLATED_PERIODS and self.detector.is_isolated(now):
             # No proxy confirms it, so this changes only our own view and is not gossiped.
-            self.merger.apply(now, replace(entry, status=Status.GONE), "no member answers", spread=False)
+            self.merger.apply(now, replace(entry, status=Status.GONE), "we hear nobody", spread=False)
 
     def is_disputable(self, now: int, entry: Entry) -> bool:
         """Whether the entry reports a member gone that is alive in our view and that we do not suspect."""
--- a/ladderhub/membership/view.py
+++ b/ladderhub/membership/view.py
@@ -195,7 +195,7 @@
             if acked >= min(CONFIRMING_PEERS, len(monitored)):
                 self._resumed_ns = -1
         elif self.prober.detector.is_isolated(now):
-            self._set_confirmed(False, "no member answers")
+            self._set_confirmed(False, "we hear nobody")
             return
         if self._resumed_ns < 0:
             self._set_confirmed(True, "peers answered")
