--- a/benchmarks/directory.py
+++ b/benchmarks/directory.py
@@ -13,7 +13,7 @@
 import time
 from typing import Any, cast
 
-from ladderhub.directory.service import PUSH_NS, Directory
+from ladderhub.directory.service import PUSH_INTERVAL_NS, Directory
 from ladderhub.directory.wire import Entry, Register, Room, Watch
 from ladderhub.loop import Loop, ManualClock
 from ladderhub.usage.traffic import TrafficCount
@@ -70,7 +70,7 @@
             self._take(peer, Watch("scheduler"))
 
     def _take(self, peer: Peer, message: Register | Room | Watch) -> None:
-        self.directory.take(cast(Any, peer), message)
+        self.directory.handle_message(cast(Any, peer), message)
 
     def _tell_room(self, at: int) -> None:
         if self._free[at] != self._told[at]:
@@ -79,7 +79,7 @@
         self.loop.call_later(ROOM_NS, self._tell_room, at)
 
     def run(self, seconds: float) -> None:
-        step_ns = PUSH_NS // 20
+        step_ns = PUSH_INTERVAL_NS // 20
         for _ in range(round(seconds * S / step_ns)):
             for _event in range(round(self._events_per_s * step_ns / S)):
                 self._free[self.random.randrange(len(self._free))] += self.random.choice((-1.0, 1.0))
@@ -90,7 +90,7 @@
         """One more scheduler comes: log entries walked, processor seconds and bytes for its first list."""
         walked, spent, peer = self.directory.log_entries_walked, time.thread_time(), Peer()
         self._take(peer, Watch("new"))
-        self.directory.lost(cast(Any, peer))
+        self.directory.remove_peer(cast(Any, peer))
         spent = time.thread_time() - spent
         return self.directory.log_entries_walked - walked, spent, peer.stream.size
 
--- a/benchmarks/losses.py
+++ b/benchmarks/losses.py
@@ -26,7 +26,7 @@
 
 from load_of_site import FAILED, NODES, REPLACED, RESTARTED, RUNNING, SCHEDULERS, Figure, add_figures
 
-from ladderhub.directory.wire import Entry, Lines, Listed, Register, Room, Watch, encode
+from ladderhub.directory.wire import Entry, MessageDecoder, Listed, Register, Room, Watch, encode
 from ladderhub.lab.client import Submission, attributes
 from ladderhub.lab.emulator.net import MS, Faults, S
 from ladderhub.lab.emulator.membership import Fleet, address_of
@@ -217,11 +217,11 @@
         self._loop, self._address = loop, address
         self.lists: list[tuple[int, Listed]] = []
         self.version = 0
-        self._lines = Lines()
+        self._lines = MessageDecoder()
         self._connect()
 
     def _connect(self) -> None:
-        self._lines = Lines()
+        self._lines = MessageDecoder()
         connect(self._loop, self._address, self, S, self._connected)
 
     def _connected(self, stream: Stream) -> None:
--- a/benchmarks/rolling_restart.py
+++ b/benchmarks/rolling_restart.py
@@ -28,7 +28,7 @@
 from ladderhub.lab.mesh.fleet import Mesh
 from ladderhub.lab.mesh.judge import Verdict, check_leases
 from ladderhub.loop import Loop
-from ladderhub.node.admission import Admission, Ask
+from ladderhub.node.admission import Admission, Offer
 
 S = 1_000_000_000
 SCHEDULERS, NODES, RATE, SERVICES = 7, 21, 50.0, 240
@@ -71,15 +71,15 @@
             self._watch(agent.admission)
 
     def _watch(self, admission: Admission) -> None:
-        following = admission.next_start
+        following = admission.begin_next_start
 
-        def counted() -> tuple[Ask, bool] | None:
+        def counted() -> tuple[Offer, bool] | None:
             found = following()
             if found is not None:
                 self.starts.setdefault(self.phase, Counter())[found[1]] += 1
             return found
 
-        admission.next_start = counted  # type: ignore[method-assign]
+        admission.begin_next_start = counted  # type: ignore[method-assign]
 
     def submit(self) -> None:
         self.loop.call_later(round(S / RATE * self.random.expovariate(1.0)), self.submit)
--- a/benchmarks/rows.py
+++ b/benchmarks/rows.py
@@ -22,7 +22,7 @@
 from ladderhub.membership.slots import encode_slots
 from ladderhub.membership.types import LeaseSettings
 from ladderhub.membership.voter import LeaseVoter
-from ladderhub.node.admission import Admission, Ask, NodeSettings
+from ladderhub.node.admission import Admission, Offer, NodeSettings
 
 MEMBERS = Figure("size.schedulers", "schedulers, real and hollow")
 CLASS = api.TaskClass(api.Effect.SAFE, S, 6 * S)
@@ -81,11 +81,11 @@
 
 
 def node_with_tasks(count: int) -> object:
-    admission = Admission(NodeSettings(10.0**6, 10.0**6, line_most=10**6), 0)
+    admission = Admission(NodeSettings(10.0**6, 10.0**6, max_queued_offers=10**6), 0)
     for at in range(count):
-        admission.offer(0, Ask((f"{at}.alpha", 1), f"service-{at}", 0.5, 1.0, "web", "team"))
-        admission.next_look()
-        admission.looked(0)
+        admission.enqueue(0, Offer((f"{at}.alpha", 1), f"service-{at}", 0.5, 1.0, "web", "team"))
+        admission.begin_evaluation()
+        admission.finish_evaluation(0)
     return admission
 
 
--- a/ladderhub/cli/daemons.py
+++ b/ladderhub/cli/daemons.py
@@ -122,7 +122,7 @@
         sys.exit(1)
 
     def end() -> None:
-        agent.send_away()
+        agent.stop_all_jobs()
         loop.call_later(3_000_000_000, loop.stop)
 
     loop.on_signal(signal.SIGTERM, end)
--- a/ladderhub/directory/service.py
+++ b/ladderhub/directory/service.py
@@ -11,7 +11,7 @@
 from ladderhub.directory.stats import DirectoryStats
 from ladderhub.directory.wire import (
     Entry,
-    Lines,
+    MessageDecoder,
     Listed,
     Message,
     Register,
@@ -26,8 +26,8 @@
 from ladderhub.usage.accounted import CountedStream
 from ladderhub.usage.traffic import NODE, SCHEDULER, Traffic
 
-PUSH_NS = 200_000_000
-CHANGES_MOST = 10_000
+PUSH_INTERVAL_NS = 200_000_000
+MAX_CHANGES = 10_000
 VERSION_STEP_NS = 1_000  # a life begins at the version that a change each microsecond would have reached
 
 
@@ -43,15 +43,15 @@
 class Directory:
     """One listener for nodes and schedulers.
 
-    A node whose connection ends stays listed as it was for `lapse_ns` and is then listed as gone.  For
+    A node whose connection ends stays listed as it was for `gone_delay_ns` and is then listed as gone.  For
     `settle_ns` from its start it tells no full list, since nodes may not have registered again yet: whoever
     kept the list of an earlier life would take those that it lacks for gone, and end what runs there."""
 
     def __init__(
-        self, loop: Loop, address: Address, delay_ns: int = 1_000_000_000, lapse_ns: int = 1_000_000_000,
+        self, loop: Loop, address: Address, delay_ns: int = 1_000_000_000, gone_delay_ns: int = 1_000_000_000,
         settle_ns: int = 0,
     ) -> None:  # fmt: skip
-        self.loop, self.delay_ns, self.lapse_ns = loop, delay_ns, lapse_ns
+        self.loop, self.delay_ns, self.gone_delay_ns = loop, delay_ns, gone_delay_ns
         self._settled_ns = loop.now_ns() + settle_ns
         self.entries: dict[str, Entry] = {}
         # Versions grow over all lives: one that an earlier life told must not pass for one of this life.
@@ -64,7 +64,7 @@
         self.traffic = Traffic()
         self.rounds = self.lists = self.rows_sent = self.log_entries_walked = 0
         self.listener = Listener(loop, address, self._accept)
-        self._timer = loop.call_later(PUSH_NS, self._push)
+        self._timer = loop.call_later(PUSH_INTERVAL_NS, self._push)
 
     @property
     def address(self) -> Address:
@@ -79,7 +79,7 @@
         for peer in [*self._owners.values(), *self._watchers]:
             peer.stream.abort()
 
-    def cut_watchers(self) -> None:
+    def disconnect_watchers(self) -> None:
         """Close every scheduler's connection: a fault that the lab asks for."""
         for peer in list(self._watchers):
             peer.stream.abort()
@@ -99,7 +99,7 @@
 
     # --- what peers tell ----------------------------------------------------------------------------------
 
-    def take(self, peer: _Peer, message: Message) -> None:
+    def handle_message(self, peer: _Peer, message: Message) -> None:
         match message:
             case Register(entry):
                 peer.node = entry.name
@@ -118,12 +118,12 @@
             case _:
                 raise DirectoryError(f"{type(message).__name__} is out of place here")
 
-    def lost(self, peer: _Peer) -> None:
+    def remove_peer(self, peer: _Peer) -> None:
         self._watchers.pop(peer, None)
         self._owed_full.discard(peer)
         if peer.node and self._owners.get(peer.node) is peer:
             del self._owners[peer.node]
-            self.loop.call_later(self.lapse_ns, self._lapsed, peer.node)
+            self.loop.call_later(self.gone_delay_ns, self._lapsed, peer.node)
 
     def _lapsed(self, node: str) -> None:
         if node not in self._owners and node in self.entries:
@@ -133,7 +133,7 @@
         before = self.entries.get(entry.name)
         if before == entry:
             return
-        if len(self._changes) == CHANGES_MOST:
+        if len(self._changes) == MAX_CHANGES:
             del self._changes[self._oldest()]
         self.entries[entry.name] = entry
         self.version += 1
@@ -162,7 +162,7 @@
         self._visible_now()  # a change is walked once here, also while nobody watches
         for peer in list(self._watchers):
             self._send(peer)
-        self._timer = self.loop.call_later(PUSH_NS, self._push)
+        self._timer = self.loop.call_later(PUSH_INTERVAL_NS, self._push)
 
     def _send(self, peer: _Peer) -> None:
         if peer.stream.backed_up():
@@ -211,17 +211,17 @@
     """One connection, of a node or a scheduler."""
 
     def __init__(self, directory: Directory, sock: socket.socket) -> None:
-        self._directory, self._lines, self.node = directory, Lines(), ""
+        self._directory, self._lines, self.node = directory, MessageDecoder(), ""
         # A scheduler is told from a node by its first message.
         self.stream = CountedStream(directory.loop, sock, self, directory.traffic.of(NODE))
 
     def on_data(self, stream: Stream, data: bytes) -> None:
         try:
             for message in self._lines.feed(data):
-                self._directory.take(self, message)
+                self._directory.handle_message(self, message)
                 self.stream.count.messages_in += 1
         except DirectoryError as fault:
             stream.abort(fault)
 
     def on_closed(self, stream: Stream, fault: BaseException | None) -> None:
-        self._directory.lost(self)
+        self._directory.remove_peer(self)
--- a/ladderhub/directory/wire.py
+++ b/ladderhub/directory/wire.py
@@ -10,7 +10,7 @@
 
 from ladderhub.errors.base import PROTOCOL, LadderhubError
 
-LINE_MOST = 8 * 1024 * 1024
+MAX_LINE_BYTES = 8 * 1024 * 1024
 
 
 class Entry(msgspec.Struct, frozen=True):
@@ -77,7 +77,7 @@
     return _ENCODER.encode(message) + b"\n"
 
 
-class Lines:
+class MessageDecoder:
     """Bytes in, messages out."""
 
     def __init__(self) -> None:
@@ -86,8 +86,8 @@
     def feed(self, data: bytes) -> list[Message]:
         """Whole messages so far; `DirectoryError` at the first line that is none."""
         *lines, self._rest = (self._rest + data).split(b"\n")
-        if len(self._rest) > LINE_MOST:
-            raise DirectoryError(f"a line of more than {LINE_MOST} bytes")
+        if len(self._rest) > MAX_LINE_BYTES:
+            raise DirectoryError(f"a line of more than {MAX_LINE_BYTES} bytes")
         try:
             return [_DECODER.decode(line) for line in lines if line]
         except msgspec.MsgspecError as fault:
--- a/ladderhub/lab/auditor/reader.py
+++ b/ladderhub/lab/auditor/reader.py
@@ -4,7 +4,7 @@
 
 from collections import defaultdict, deque
 
-from ladderhub.directory.wire import Entry, Lines, Listed
+from ladderhub.directory.wire import Entry, MessageDecoder, Listed
 from ladderhub.lab.auditor.model import GONE, NEVER_NS, Answer, Attempt, JobSeen, NodeNotice
 from ladderhub.lab.tap import Record
 from ladderhub.pbs import names as n
@@ -34,7 +34,7 @@
         self._requests: dict[int, RequestParser] = {}
         self._replies: dict[int, ReplyParser] = {}
         self._unanswered: dict[int, deque[Request]] = defaultdict(deque)
-        self._lines: dict[int, Lines] = {}
+        self._lines: dict[int, MessageDecoder] = {}
 
     def take(self, record: Record) -> None:
         self.last_ns = record.at_ns
@@ -201,7 +201,7 @@
     # --- the directory ------------------------------------------------------------------------------------
 
     def _on_list(self, record: Record, scheduler: str) -> None:
-        for message in self._lines.setdefault(record.connection, Lines()).feed(record.data):
+        for message in self._lines.setdefault(record.connection, MessageDecoder()).feed(record.data):
             if not isinstance(message, Listed):
                 continue
             known = self._entries[scheduler]
--- a/ladderhub/lab/day.py
+++ b/ladderhub/lab/day.py
@@ -247,7 +247,7 @@
 
     def _replace(self, name: str, agent: FlakyAgent) -> None:
         if self.fleet.nodes.get(name) is agent:
-            agent.send_away()
+            agent.stop_all_jobs()
             self.loop.call_later(300 * MS, self._swap, name, agent)
 
     def _swap(self, name: str, agent: FlakyAgent) -> None:
@@ -273,7 +273,7 @@
 
     def do_flush(self, fault: Fault) -> None:
         for agent in self._agents(fault):
-            agent.admission.flush()
+            agent.admission.discard_warm_services()
 
     def do_answer_lost(self, fault: Fault) -> None:
         self._for_a_while(fault, "lose", fault.by, 0.0)
--- a/ladderhub/lab/emulator/placement.py
+++ b/ladderhub/lab/emulator/placement.py
@@ -15,7 +15,7 @@
 from ladderhub import interface as api
 from ladderhub.decide import Scheduler
 from ladderhub.lab.emulator.net import MS, Net, S
-from ladderhub.node.admission import Admission, Ask, Key, NodeSettings
+from ladderhub.node.admission import Admission, Offer, RunKey, NodeSettings
 from ladderhub.owner.retries import PRIORITY_RESERVE
 
 _REASONS = {
@@ -86,7 +86,7 @@
     refused: bool = False
     offers: int = 0
     asks: int = 0
-    run: Key | None = None
+    run: RunKey | None = None
 
 
 class Node:
@@ -96,69 +96,69 @@
         self.site, self.name, self.at = site, f"m{at:05}", at
         settings = site.settings
         self.admission = Admission(NodeSettings(settings.cores, settings.memory), site.net.now)
-        self._answers: dict[Key, Callable[[api.Outcome, api.Reason], None]] = {}
-        self._works: dict[Key, Work] = {}
+        self._answers: dict[RunKey, Callable[[api.Outcome, api.Reason], None]] = {}
+        self._works: dict[RunKey, Work] = {}
 
-    def offer(self, key: Key, work: Work, answer: Callable[[api.Outcome, api.Reason], None]) -> None:
+    def offer(self, key: RunKey, work: Work, answer: Callable[[api.Outcome, api.Reason], None]) -> None:
         """Look at an offer; `answer` is called once, with how the attempt ended."""
-        ask = Ask(key, work.service, work.cores, work.memory, tenant=str(work.tenant))
+        ask = Offer(key, work.service, work.cores, work.memory, tenant=str(work.tenant))
         self._answers[key], self._works[key] = answer, work
-        refusal = self.admission.offer(self.site.net.now, ask)
+        refusal = self.admission.enqueue(self.site.net.now, ask)
         if refusal is not None:
             self._refuse(key, refusal.code)
             return
         self._look()
 
-    def _refuse(self, key: Key, code: str) -> None:
+    def _refuse(self, key: RunKey, code: str) -> None:
         self._works.pop(key)
         self._answers.pop(key)(api.Outcome.REFUSED, _REASONS[code])
 
     def _look(self) -> None:
-        ask = self.admission.next_look()
+        ask = self.admission.begin_evaluation()
         if ask is not None:
             net = self.site.net
             span = net.random.randint(*self.site.settings.look_ns)
             net.at(net.now + span, self._looked, ask.key)
 
-    def _looked(self, key: Key) -> None:
+    def _looked(self, key: RunKey) -> None:
         net = self.site.net
-        refusal = self.admission.looked(net.now)
+        refusal = self.admission.finish_evaluation(net.now)
         if refusal is not None:
             if key in self._works:
                 self._refuse(key, refusal.code)
         elif key not in self._works:  # called off meanwhile
-            self.admission.ended(key)
+            self.admission.release_resources(key)
         else:
             net.at(net.now + 2 * self.site.settings.hop_ns, self._commit, key)
         self._look()
 
-    def _commit(self, key: Key) -> None:
+    def _commit(self, key: RunKey) -> None:
         if key in self._works and self.admission.commit(key):
             self._start()
 
     def _start(self) -> None:
         net, settings = self.site.net, self.site.settings
-        while (following := self.admission.next_start()) is not None:
+        while (following := self.admission.begin_next_start()) is not None:
             ask, warm = following
             span = settings.warm_ns * (1.0 if warm else settings.cold_times) * net.random.uniform(0.85, 1.15)
             net.at(net.now + round(span), self._started, ask.key)
 
-    def _started(self, key: Key) -> None:
+    def _started(self, key: RunKey) -> None:
         if key not in self._works:
             return
-        self.admission.started(key)
+        self.admission.mark_started(key)
         self.site.running(key)
         self.site.net.at(self.site.net.now + self._works[key].life_ns, self._ended, key)
         self._start()
 
-    def _ended(self, key: Key) -> None:
+    def _ended(self, key: RunKey) -> None:
         if self._works.pop(key, None) is None:
             return
-        self.admission.ended(key)
+        self.admission.release_resources(key)
         self._answers.pop(key)(api.Outcome.DONE, api.Reason.UNKNOWN)
         self._start()
 
-    def stop(self, key: Key) -> None:
+    def stop(self, key: RunKey) -> None:
         """What its scheduler gave up: it ends without a word."""
         if self._works.pop(key, None) is not None:
             self._answers.pop(key)
@@ -192,7 +192,7 @@
         self._busy = False
         self.again_left = site.settings.again_burst
         self._attempts: Counter[int] = Counter()
-        self._where: dict[Key, tuple[Node, int]] = {}
+        self._where: dict[RunKey, tuple[Node, int]] = {}
 
     def take(self, event: api.Event) -> None:
         """Handle an event now, or in its turn where processor time is charged."""
@@ -285,7 +285,7 @@
         if send.timeout_ns is not None:
             site.net.at(site.net.now + delay + send.timeout_ns, self._late, key)
 
-    def _late(self, key: Key) -> None:
+    def _late(self, key: RunKey) -> None:
         if key in self._where and self.site.tasks[int(key[0])].start_ns < 0:
             self._where[key][0].stop(key)
             self._over(key, api.Outcome.TIMED_OUT, api.Reason.UNKNOWN)
@@ -294,25 +294,25 @@
         """The task was answered for: what is still out is told to stop."""
         self.stop((str(task), self._attempts[task] - 1))
 
-    def stop(self, key: Key) -> None:
+    def stop(self, key: RunKey) -> None:
         """End an attempt, if it is still out."""
         if key in self._where:
             self._where[key][0].stop(key)
             self.site.net.at(self.site.net.now, self._over, key, api.Outcome.CANCELLED, api.Reason.UNKNOWN)
 
-    def placed(self, key: Key) -> None:
+    def placed(self, key: RunKey) -> None:
         """The task runs, and this scheduler has heard it."""
         if key in self._where:
             node, attempt = self._where[key]
             self.take(api.TaskPlaced(int(key[0]), attempt, node.name))
 
-    def _over(self, key: Key, outcome: api.Outcome, reason: api.Reason) -> None:
+    def _over(self, key: RunKey, outcome: api.Outcome, reason: api.Reason) -> None:
         found = self._where.pop(key, None)
         if found is None:
             return
         node, attempt = found
         task, done = int(key[0]), outcome is api.Outcome.DONE
-        report = api.LoadReport(*node.admission.free()) if done else None
+        report = api.LoadReport(*node.admission.get_free_resources()) if done else None
         if done:
             self._attempts.pop(task, None)
         self.take(api.AttemptEnded(task, attempt, node.name, outcome, reason, done, 0, report))
@@ -342,14 +342,14 @@
         settings, at = self.settings, node.at
         zone = at * settings.zones // settings.nodes
         cell = at // settings.nodes_in_rack
-        cores, memory = node.admission.free()
+        cores, memory = node.admission.get_free_resources()
         return api.MachineEntry(node.name, api.Stage.SERVING, 0, zone, cell, 0, cores, memory)
 
     def _list(self) -> None:
         """What changed goes to every scheduler, as late as the directory is."""
         changed = []
         for node in self.nodes:
-            free = node.admission.free()
+            free = node.admission.get_free_resources()
             if self._told.get(node.name) != free:
                 self._told[node.name] = free
                 changed.append(self._row(node))
@@ -380,7 +380,7 @@
         if record.run is not None:
             self._owners[int(record.run[0])].stop(record.run)
 
-    def running(self, key: Key) -> None:
+    def running(self, key: RunKey) -> None:
         """A task has begun on its node."""
         task = int(key[0])
         record = self.tasks[task]
--- a/ladderhub/lab/flaky.py
+++ b/ladderhub/lab/flaky.py
@@ -7,7 +7,7 @@
 from ladderhub.node.admission import Refusal
 from ladderhub.node.agent import Agent
 from ladderhub.node.connection import AgentConnection
-from ladderhub.node.jobs import HeldJob
+from ladderhub.node.jobs import NodeJob
 from ladderhub.pbs import names as n
 from ladderhub.pbs.batch import Request
 
@@ -29,10 +29,10 @@
     def make_connection(self, sock: socket.socket) -> AgentConnection:
         return FlakyConnection(self, sock)
 
-    def refuse_first(self, held: HeldJob) -> Refusal | None:
-        if held.ask.tenant in self.full_for:
-            return Refusal("CORES", "no room for " + held.ask.tenant)
-        if held.ask.queue in self.keyed and self.peers is not None:
+    def inject_refusal(self, held: NodeJob) -> Refusal | None:
+        if held.offer.tenant in self.full_for:
+            return Refusal("CORES", "no room for " + held.offer.tenant)
+        if held.offer.queue in self.keyed and self.peers is not None:
             # Nodes of a site with keyed work let one copy of a key stand.
             job = held.key[0]
             if any(key[0] == job for peer in self.peers.values() for key in peer.jobs):
--- a/ladderhub/lab/fleet.py
+++ b/ladderhub/lab/fleet.py
@@ -89,7 +89,7 @@
         self._runner, self._emulated = runner, emulated or EmulatedSettings()
         self._racks, self._prefix, self._peers = racks, prefix, peers
         self.tap = Tap(loop, record) if record is not None else None
-        self.directory = Directory(loop, (own_host(), 0), list_delay_ns, lapse_ns=1 * S)
+        self.directory = Directory(loop, (own_host(), 0), list_delay_ns, gone_delay_ns=1 * S)
         self.schedulers: dict[str, SchedulerProcess] = {}
         self.nodes: dict[str, FlakyAgent] = {}
         self._places: dict[str, tuple[str, str, int, tuple[str, int]]] = {}
@@ -131,7 +131,7 @@
             runner = EmulatedRunner(self.loop, self._emulated, seed)
         agent = FlakyAgent(
             self.loop, name, settings, runner, address=("127.0.0.1", port), directory=self.directory.address,
-            advertise="{}:{}".format(*public), rack=rack, look_ns=(4 * MS, 15 * MS),
+            advertise="{}:{}".format(*public), rack=rack, evaluation_ns=(4 * MS, 15 * MS),
             cold_times=self._emulated.cold_times, answers=rules["answers"], seed=seed,
         )  # fmt: skip
         if not fresh:
--- a/ladderhub/lab/nodehost.py
+++ b/ladderhub/lab/nodehost.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from ladderhub.loop import Loop
-from ladderhub.node.admission import Key, NodeSettings
+from ladderhub.node.admission import RunKey, NodeSettings
 from ladderhub.node.agent import Agent
 from ladderhub.node.runners import EmulatedRunner, EmulatedSettings
 from ladderhub.pbs.batch import Request
@@ -59,13 +59,13 @@
     came: dict[str, int]
     ran: dict[str, int]
 
-    def offered(self, request: Request, answer: Any) -> None:
+    def queue_job(self, request: Request, answer: Any) -> None:
         self.came.setdefault(request.job, self.loop.now_ns())
-        super().offered(request, answer)
+        super().queue_job(request, answer)
 
-    def _started(self, key: Key) -> None:
+    def _on_started(self, key: RunKey) -> None:
         self.ran.setdefault(key[0], self.loop.now_ns())
-        super()._started(key)
+        super()._on_started(key)
 
 
 def main() -> None:
@@ -79,7 +79,7 @@
         settings = NodeSettings(node.cores, node.memory, node.kind, plan.admit_cores, plan.admit_memory)
         agent = WatchedAgent(
             loop, node.name, settings, EmulatedRunner(loop, emulated, node.seed), directory=plan.directory,
-            rack=node.rack, look_ns=(4_000_000, 15_000_000), cold_times=plan.cold_times, seed=node.seed,
+            rack=node.rack, evaluation_ns=(4_000_000, 15_000_000), cold_times=plan.cold_times, seed=node.seed,
             traffic=traffic,
         )  # fmt: skip
         agent.ready_ns = agent.admission.ready_ns = loop.now_ns() - 3600 * S
--- a/ladderhub/lab/scale/fleet.py
+++ b/ladderhub/lab/scale/fleet.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from ladderhub.directory.wire import Lines, Listed, Watch, encode
+from ladderhub.directory.wire import MessageDecoder, Listed, Watch, encode
 from ladderhub.lab.ports import free_port
 from ladderhub.lab.process import module
 from ladderhub.lab.scale import settings as tell
@@ -234,7 +234,7 @@
 
 def listed(directory: Address, seconds: float = 5.0) -> int:
     """How many nodes a directory lists to one who asks now."""
-    lines = Lines()
+    lines = MessageDecoder()
     with socket.create_connection(directory, seconds) as sock:
         sock.sendall(encode(Watch("scale-run")))
         while data := sock.recv(1 << 20):
--- a/ladderhub/lab/scale/hollow_nodes.py
+++ b/ladderhub/lab/scale/hollow_nodes.py
@@ -24,7 +24,7 @@
 from ladderhub.lab.scale.measure import counted_by
 from ladderhub.loop import Loop
 from ladderhub.loop.core import READ
-from ladderhub.node.admission import Key, NodeSettings
+from ladderhub.node.admission import RunKey, NodeSettings
 from ladderhub.node.agent import Agent
 from ladderhub.node.runners import EmulatedRunner, EmulatedSettings
 from ladderhub.usage.traffic import Traffic
@@ -73,13 +73,13 @@
 
     result: HostResult
 
-    def _started(self, key: Key) -> None:
+    def _on_started(self, key: RunKey) -> None:
         self.result.ran.setdefault(key[0], time.monotonic_ns())
-        super()._started(key)
+        super()._on_started(key)
 
-    def _ended(self, key: Key, status: int, reason: str) -> None:
+    def _on_ended(self, key: RunKey, status: int, reason: str) -> None:
         self.result.ended[key[0]] = time.monotonic_ns()
-        super()._ended(key, status, reason)
+        super()._on_ended(key, status, reason)
 
     def close(self) -> None:
         """End without a word, as a machine that lost its power: with all that it ran."""
@@ -115,7 +115,7 @@
         emulated = EmulatedSettings(plan.warm_ns, plan.cold_times)
         agent = TimedAgent(
             self._loop, node.name, settings, EmulatedRunner(self._loop, emulated, seed),
-            directory=plan.directory, rack=node.rack, zone=node.zone, look_ns=LOOK_NS,
+            directory=plan.directory, rack=node.rack, zone=node.zone, evaluation_ns=LOOK_NS,
             cold_times=plan.cold_times, answers=plan.answers, seed=seed, traffic=self._traffic,
         )  # fmt: skip
         agent.result = self.result
@@ -140,7 +140,7 @@
             self._lose(name, place, round(float(rest[-1]) * S))
             return
         agent.drain(True)
-        self._loop.call_later(DRAIN_NS, agent.send_away)
+        self._loop.call_later(DRAIN_NS, agent.stop_all_jobs)
         self._loop.call_later(2 * DRAIN_NS, self._lose, name, place, round(float(rest[-1]) * S))
 
     def _write_counts(self, file: Path) -> None:
--- a/ladderhub/node/admission.py
+++ b/ladderhub/node/admission.py
@@ -8,14 +8,14 @@
 from collections import OrderedDict, deque
 from dataclasses import dataclass
 
-Key = tuple[str, int]  # job identifier and run
+RunKey = tuple[str, int]  # job identifier and run
 MS = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """One node.  `line_most` asks may wait to be looked at; `starts_most` starts go side by side; `kept`
-    programs stay warm after their last task; fresh, it starts at `cold_pace` of its pace for
+    """One node.  `max_queued_offers` asks may wait to be looked at; `max_concurrent_starts` starts go side
+    by side; `kept` programs stay warm after their last task; fresh, it starts at `cold_pace` of its pace for
     `cold_span_ns`."""
 
     cores: float
@@ -23,8 +23,8 @@
     kind: str = ""
     admit_cores: float = 1.0
     admit_memory: float = 1.0
-    line_most: int = 50
-    starts_most: int = 4
+    max_queued_offers: int = 50
+    max_concurrent_starts: int = 4
     kept: int = 6
     cold_pace: float = 0.2
     cold_span_ns: int = 0
@@ -35,17 +35,17 @@
             raise ValueError("cores and memory: must be above 0")
         if self.admit_cores <= 0 or self.admit_memory <= 0:
             raise ValueError("admit_cores and admit_memory: must be above 0")
-        if self.line_most < 1 or self.starts_most < 1:
-            raise ValueError("line_most and starts_most: must be at least 1")
+        if self.max_queued_offers < 1 or self.max_concurrent_starts < 1:
+            raise ValueError("max_queued_offers and max_concurrent_starts: must be at least 1")
         if not 0 < self.cold_pace <= 1:
             raise ValueError("cold_pace: must be above 0 and at most 1")
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class Offer:
     """A job that is offered: what it asks for, and the service whose program it needs."""
 
-    key: Key
+    key: RunKey
     service: str
     cores: float
     memory: float
@@ -68,32 +68,32 @@
         self.settings, self.ready_ns = settings, ready_ns
         self.draining = False
         self.used = [0.0, 0.0]
-        self._line: deque[Ask] = deque()
-        self._looking: Ask | None = None
-        self._taken: dict[Key, Ask] = {}  # admitted and not ended
-        self._waiting: deque[Key] = deque()  # committed, waiting for a start slot
-        self._starting: set[Key] = set()
+        self._line: deque[Offer] = deque()
+        self._looking: Offer | None = None
+        self._taken: dict[RunKey, Offer] = {}  # admitted and not ended
+        self._waiting: deque[RunKey] = deque()  # committed, waiting for a start slot
+        self._starting: set[RunKey] = set()
         self._running: dict[str, int] = {}  # services with started tasks
         self._kept: OrderedDict[str, None] = OrderedDict()
-        self._barred: OrderedDict[Key, int] = OrderedDict()
+        self._barred: OrderedDict[RunKey, int] = OrderedDict()
 
     # --- asks -----------------------------------------------------------------------------------------------
 
-    def offer(self, now: int, ask: Ask) -> Refusal | None:
+    def enqueue(self, now: int, ask: Offer) -> Refusal | None:
         """Put an ask in line; a refusal where it can't even wait."""
-        if len(self._line) >= self.settings.line_most:
+        if len(self._line) >= self.settings.max_queued_offers:
             return Refusal("LINE_FULL", f"{len(self._line)} asks wait already")
         self._line.append(ask)
         return None
 
-    def next_look(self) -> Ask | None:
+    def begin_evaluation(self) -> Offer | None:
         """The ask to look at now, one at a time; None while one is being looked at or none waits."""
         if self._looking is not None or not self._line:
             return None
         self._looking = self._line.popleft()
         return self._looking
 
-    def looked(self, now: int) -> Refusal | None:
+    def finish_evaluation(self, now: int) -> Refusal | None:
         """The look is over: the ask is taken in, with its room, or refused."""
         ask, self._looking = self._looking, None
         assert ask is not None
@@ -104,7 +104,7 @@
             self.used[1] += ask.memory
         return refusal
 
-    def _judge(self, now: int, ask: Ask) -> Refusal | None:
+    def _judge(self, now: int, ask: Offer) -> Refusal | None:
         settings = self.settings
         if self.draining:
             return Refusal("NOT_HERE", "the node drains")
@@ -122,36 +122,36 @@
                 return Refusal(name, f"{amount:g} {unit} asked, {free:g} free")
         return None
 
-    def withdraw(self, key: Key) -> bool:
+    def withdraw(self, key: RunKey) -> bool:
         """An ask that was not committed is no longer wanted; True where its room was given back."""
         self._line = deque(ask for ask in self._line if ask.key != key)
-        return self.ended(key)
+        return self.release_resources(key)
 
     # --- starts ---------------------------------------------------------------------------------------------
 
-    def commit(self, key: Key) -> bool:
+    def commit(self, key: RunKey) -> bool:
         """The job may start; False where it was not taken in."""
         if key not in self._taken:
             return False
         self._waiting.append(key)
         return True
 
-    def next_start(self) -> tuple[Ask, bool] | None:
+    def begin_next_start(self) -> tuple[Offer, bool] | None:
         """The job that may start now, and whether its program is warm."""
-        if not self._waiting or len(self._starting) >= self.settings.starts_most:
+        if not self._waiting or len(self._starting) >= self.settings.max_concurrent_starts:
             return None
         key = self._waiting.popleft()
         ask = self._taken[key]
         self._starting.add(key)
         return ask, ask.service in self._running or ask.service in self._kept
 
-    def started(self, key: Key) -> None:
+    def mark_started(self, key: RunKey) -> None:
         self._starting.discard(key)
         service = self._taken[key].service
         self._kept.pop(service, None)
         self._running[service] = self._running.get(service, 0) + 1
 
-    def ended(self, key: Key) -> bool:
+    def release_resources(self, key: RunKey) -> bool:
         """The job is over or called off: its room is free; False where it is not known."""
         ask = self._taken.pop(key, None)
         if ask is None:
@@ -171,7 +171,7 @@
                     self._kept.popitem(last=False)
         return True
 
-    def flush(self) -> None:
+    def discard_warm_services(self) -> None:
         """The kept programs are lost."""
         self._kept.clear()
 
@@ -184,13 +184,13 @@
             return 1.0
         return self.settings.cold_pace + (1 - self.settings.cold_pace) * age / span
 
-    def free(self) -> tuple[float, float]:
+    def get_free_resources(self) -> tuple[float, float]:
         """Cores and memory that nobody has asked for; below 0 where more was taken in."""
         return self.settings.cores - self.used[0], self.settings.memory - self.used[1]
 
     # --- bars -----------------------------------------------------------------------------------------------
 
-    def bar(self, now: int, key: Key) -> None:
+    def bar(self, now: int, key: RunKey) -> None:
         """This run must never start here: its scheduler counts on that.
 
         Danger: an offer that is still on its way when its scheduler has asked and was told «unknown»."""
@@ -198,5 +198,5 @@
         while self._barred and now - next(iter(self._barred.values())) > self.settings.bar_ns:
             self._barred.popitem(last=False)
 
-    def is_barred(self, now: int, key: Key) -> bool:
+    def is_barred(self, now: int, key: RunKey) -> bool:
         return key in self._barred and now - self._barred[key] <= self.settings.bar_ns
--- a/ladderhub/node/agent.py
+++ b/ladderhub/node/agent.py
@@ -17,10 +17,10 @@
 from ladderhub.directory.wire import Entry, State
 from ladderhub.loop import Listener, Loop
 from ladderhub.loop.stream import Address
-from ladderhub.node.admission import Admission, Key, NodeSettings, Refusal
+from ladderhub.node.admission import Admission, RunKey, NodeSettings, Refusal
 from ladderhub.node.connection import AgentConnection, Answer
 from ladderhub.node.directory_link import DirectoryLink
-from ladderhub.node.jobs import FENCE, EndedRun, HeldJob, JobState, fenced_run, held_job, run_of
+from ladderhub.node.jobs import FENCE, EndedRun, NodeJob, JobState, fenced_run, held_job, run_of
 from ladderhub.node.outbox import Outbox
 from ladderhub.node.runners import Runner
 from ladderhub.pbs import names as n
@@ -36,27 +36,27 @@
 
 
 class Agent:
-    """One node on one listener.  `look_ns` is the range of the time that one look takes."""
+    """One node on one listener.  `evaluation_ns` is the range of the time that one look takes."""
 
     def __init__(
         self, loop: Loop, name: str, settings: NodeSettings, runner: Runner, *,
         address: Address = ("127.0.0.1", 0),
         directory: Address | None = None, advertise: str = "", rack: str = "rack-1", zone: str = "zone-1",
-        look_ns: tuple[int, int] = (6 * MS, 30 * MS), cold_times: float = 9.0, answers: str = "running",
+        evaluation_ns: tuple[int, int] = (6 * MS, 30 * MS), cold_times: float = 9.0, answers: str = "running",
         seed: int = 1, traffic: Traffic | None = None,
     ) -> None:  # fmt: skip
         self.traffic = traffic or Traffic()
         self.loop, self.name, self.settings, self.runner = loop, name, settings, runner
         self.rack, self.zone = rack, zone
-        self.look_ns, self.cold_times, self.answers = look_ns, cold_times, answers
+        self.evaluation_ns, self.cold_times, self.answers = evaluation_ns, cold_times, answers
         self.ready_ns = loop.now_ns()
         self.admission = Admission(settings, self.ready_ns)
         self.slow = 1.0  # factor on all times, for laboratories
         self._load_ns, self._load = 0, (0.0, 0.0)
-        self.jobs: dict[Key, HeldJob] = {}
-        self._ended_runs: OrderedDict[Key, EndedRun] = OrderedDict()
+        self.jobs: dict[RunKey, NodeJob] = {}
+        self._ended_runs: OrderedDict[RunKey, EndedRun] = OrderedDict()
         self._random = random.Random(seed)
-        self._admitting: dict[Key, Answer] = {}  # answers to offers that were not looked at yet
+        self._admitting: dict[RunKey, Answer] = {}  # answers to offers that were not looked at yet
         self.connections: set[AgentConnection] = set()
         self.outboxes: dict[str, Outbox] = {}
         self.listener = Listener(loop, address, self._accept)
@@ -65,12 +65,16 @@
         self._directory: DirectoryLink | None = None
         if directory is not None:
             self._directory = DirectoryLink(
-                loop, directory, self.entry, lambda: self.admission.free(), self.traffic.of(DIRECTORY)
+                loop,
+                directory,
+                self.entry,
+                lambda: self.admission.get_free_resources(),
+                self.traffic.of(DIRECTORY),
             )
 
     def entry(self) -> Entry:
         """The node's row in the directory."""
-        cores, memory = self.admission.free()
+        cores, memory = self.admission.get_free_resources()
         stage = "draining" if self.admission.draining else "serving"
         kind, rack, zone = self.settings.kind, self.rack, self.zone
         return Entry(self.name, self.advertise, kind, rack, zone, self.ready_ns, stage, cores, memory)
@@ -99,7 +103,7 @@
 
     # --- offers -----------------------------------------------------------------------------------------
 
-    def offered(self, request: Request, answer: Answer) -> None:
+    def queue_job(self, request: Request, answer: Answer) -> None:
         """Queue Job: put it in line; `answer` is called after the look."""
         try:
             held = held_job(request, self.name)
@@ -112,7 +116,7 @@
         if held.key in self._ended_runs:
             answer(refusal(n.NODE_REJECTED, "NOT_HERE the run has ended here"))
             return
-        refused = self.refuse_first(held) or self.admission.offer(self.loop.now_ns(), held.ask)
+        refused = self.inject_refusal(held) or self.admission.enqueue(self.loop.now_ns(), held.offer)
         if refused is not None:
             answer(_refused(refused))
             return
@@ -120,11 +124,11 @@
         self._admitting[held.key] = answer
         self._look()
 
-    def refuse_first(self, held: HeldJob) -> Refusal | None:
+    def inject_refusal(self, held: NodeJob) -> Refusal | None:
         """Nothing by itself; stand-ins with faults refuse here what they should not."""
         return None
 
-    def set_script(self, key: Key, script: bytes) -> None:
+    def set_script(self, key: RunKey, script: bytes) -> None:
         """The whole script of an offered job."""
         if key in self.jobs:
             self.jobs[key].work.script = script
@@ -133,19 +137,19 @@
         self.connections.discard(connection)
 
     def _look(self) -> None:
-        ask = self.admission.next_look()
+        ask = self.admission.begin_evaluation()
         if ask is not None:
-            span = self._random.randint(*self.look_ns)
+            span = self._random.randint(*self.evaluation_ns)
             self.loop.call_later(round(span * self.slow), self._look_over, ask.key, self.jobs.get(ask.key))
 
-    def _look_over(self, key: Key, held: HeldJob | None) -> None:
+    def _look_over(self, key: RunKey, held: NodeJob | None) -> None:
         if self.closed:
             return
-        refused = self.admission.looked(self.loop.now_ns())
+        refused = self.admission.finish_evaluation(self.loop.now_ns())
         if held is None or self.jobs.get(key) is not held:
             # Withdrawn while it was looked at; what stands under its key by now waits for a look of its own.
             if refused is None:
-                self.admission.ended(key)
+                self.admission.release_resources(key)
             self._look()
             return
         answer = self._admitting.pop(key)
@@ -157,7 +161,7 @@
             answer(Reply(0, n.R_QUEUE, job=key[0]))
         self._look()
 
-    def withdraw(self, key: Key) -> None:
+    def withdraw(self, key: RunKey) -> None:
         """An offer that was not committed, and whose connection ended or time passed, leaves nothing."""
         held = self.jobs.get(key)
         if held is None or held.state is not JobState.OFFERED:
@@ -173,7 +177,7 @@
 
     # --- starts, ends ---------------------------------------------------------------------------------------
 
-    def committed(self, key: Key, answer: Answer) -> None:
+    def committed(self, key: RunKey, answer: Answer) -> None:
         held = self.jobs.get(key)
         if held is None:
             answer(refusal(n.UNKNOWN_JOB))
@@ -196,7 +200,7 @@
         self._start()
 
     def _start(self) -> None:
-        while (following := self.admission.next_start()) is not None:
+        while (following := self.admission.begin_next_start()) is not None:
             ask, warm = following
             held = self.jobs[ask.key]
             held.state = JobState.STARTING
@@ -205,15 +209,15 @@
             key = ask.key
             self.runner.start(
                 held.work, slowness,
-                partial(self._started, key), partial(self._ended, key),
+                partial(self._on_started, key), partial(self._on_ended, key),
             )  # fmt: skip
 
-    def _started(self, key: Key) -> None:
+    def _on_started(self, key: RunKey) -> None:
         held = self.jobs.get(key)
         if held is None or self.closed:
             return
         held.state, held.started_ns = JobState.RUNNING, self.loop.now_ns()
-        self.admission.started(key)
+        self.admission.mark_started(key)
         if held.commit is not None:
             held.commit(Reply(0, n.R_COMMIT, job=key[0]))
             held.commit = None
@@ -221,7 +225,7 @@
             self._tell_server(held, self._running_update(held))
         self._start()
 
-    def _running_update(self, held: HeldJob) -> Request:
+    def _running_update(self, held: NodeJob) -> Request:
         attrs = [Attr("job_state", "R"), Attr("run_version", str(held.key[1])), Attr("exec_host", self.name)]
         return Request(
             n.MODIFY_JOB,
@@ -232,11 +236,11 @@
             object_type=n.OBJ_JOB,
         )
 
-    def _ended(self, key: Key, status: int, reason: str) -> None:
+    def _on_ended(self, key: RunKey, status: int, reason: str) -> None:
         held = self.jobs.pop(key, None)
         if held is None or self.closed:
             return
-        self.admission.ended(key)
+        self.admission.release_resources(key)
         if held.commit is not None:
             # It ended before it ran: the answer to its Commit is a refusal, and no obituary follows.
             self.admission.bar(self.loop.now_ns(), key)
@@ -249,7 +253,7 @@
         self._tell_server(held, self._obituary(key, ended))
         self._start()
 
-    def _obituary(self, key: Key, ended: EndedRun) -> Request:
+    def _obituary(self, key: RunKey, ended: EndedRun) -> Request:
         cores, memory = self._recent_load()
         attrs = [
             Attr("run_version", str(key[1])), Attr("exit_reason", ended.reason), Attr("exec_host", self.name),
@@ -261,10 +265,10 @@
         """The node's figures as of some moments ago: they are taken at intervals, not for each answer."""
         now = self.loop.now_ns()
         if now - self._load_ns >= LOAD_INTERVAL_NS:
-            self._load_ns, self._load = now, self.admission.free()
+            self._load_ns, self._load = now, self.admission.get_free_resources()
         return self._load
 
-    def _tell_server(self, held: HeldJob, request: Request) -> None:
+    def _tell_server(self, held: NodeJob, request: Request) -> None:
         if not held.server:
             return
         if held.server not in self.outboxes:
@@ -301,7 +305,7 @@
             elif self.runner.stop(key[0], n.END_KILLED):
                 return Reply()
             else:  # committed and waiting for a start slot: it never ran
-                self._ended(key, n.JOB_EXEC_RETRY, "called off before it started")
+                self._on_ended(key, n.JOB_EXEC_RETRY, "called off before it started")
                 return refusal(n.UNKNOWN_JOB)
         if (request.job, run) in self._ended_runs:
             return refusal(n.BAD_STATE, "the run has ended here")
@@ -317,7 +321,7 @@
             return refusal(n.UNKNOWN_JOB)
         return Reply(0, n.R_STATUS, rows=[row for row in rows if row.get("job_state") != JobState.OFFERED])
 
-    def _fence(self, key: Key) -> Reply:
+    def _fence(self, key: RunKey) -> Reply:
         """What became of one run; where it is not known here it is barred from now on."""
         held = self.jobs.get(key)
         if held is not None and held.state is not JobState.OFFERED:
@@ -328,12 +332,12 @@
         self.admission.bar(self.loop.now_ns(), key)
         return refusal(n.UNKNOWN_JOB)
 
-    def _row(self, held: HeldJob) -> Row:
+    def _row(self, held: NodeJob) -> Row:
         shown = JobState.WAITING if held.state is JobState.STARTING else held.state
         return Row(n.OBJ_JOB, held.key[0], [Attr("job_state", shown.value), *held.attrs])
 
     def status_node(self) -> Reply:
-        cores, memory = self.admission.free()
+        cores, memory = self.admission.get_free_resources()
         state = "offline" if self.admission.draining else "free"
         attrs = [
             Attr("state", state), Attr("ncpus", f"{self.settings.cores:g}", "resources_available"),
@@ -370,7 +374,7 @@
         sent = self.runner.message(request.job, request.text, bool(request.file_kind & n.MSG_ERR))
         return Reply() if sent else refusal(n.UNKNOWN_JOB)
 
-    def send_away(self, reason: str = n.END_SENT_AWAY) -> None:
+    def stop_all_jobs(self, reason: str = n.END_SENT_AWAY) -> None:
         """Stop all that runs, saying so."""
         for held in list(self.jobs.values()):
             self.runner.stop(held.key[0], reason)
--- a/ladderhub/node/connection.py
+++ b/ladderhub/node/connection.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 from ladderhub.loop import Loop, Stream
-from ladderhub.node.admission import Key
+from ladderhub.node.admission import RunKey
 from ladderhub.node.jobs import run_of
 from ladderhub.pbs import names as n
 from ladderhub.pbs.batch import Reply, Request, refusal
@@ -27,16 +27,16 @@
     loop: Loop
     traffic: Traffic
 
-    def offered(self, request: Request, answer: Answer) -> None:
+    def queue_job(self, request: Request, answer: Answer) -> None:
         """Queue Job; answered once the node has admitted or refused the job."""
 
-    def set_script(self, key: Key, script: bytes) -> None:
+    def set_script(self, key: RunKey, script: bytes) -> None:
         """The whole script of an offered job."""
 
-    def committed(self, key: Key, answer: Answer) -> None:
+    def committed(self, key: RunKey, answer: Answer) -> None:
         """Commit of an offered job."""
 
-    def withdraw(self, key: Key) -> None:
+    def withdraw(self, key: RunKey) -> None:
         """The offer is not committed any more."""
 
     def answer_of(self, request: Request) -> Reply:
@@ -53,7 +53,7 @@
 
     def __init__(self, jobs: JobService, sock: socket.socket) -> None:
         self._jobs, self._connection = jobs, ServerConnection()
-        self._offer: Key | None = None  # the offer that is under way here
+        self._offer: RunKey | None = None  # the offer that is under way here
         self._script = bytearray()
         self._admitting = False  # its Queue Job is not answered yet
         self._serving = False  # inside `_serve_next`
@@ -109,7 +109,7 @@
             self._jobs.withdraw(self._offer)
         self._offer, self._script = (request.job, run_of(request)), bytearray()
         self._admitting = True
-        self._jobs.offered(request, partial(self._on_admitted, answer))
+        self._jobs.queue_job(request, partial(self._on_admitted, answer))
 
     def _on_admitted(self, answer: Answer, reply: Reply) -> None:
         """Queue Job has its answer: the steps behind it have their turn."""
--- a/ladderhub/node/jobs.py
+++ b/ladderhub/node/jobs.py
@@ -7,7 +7,7 @@
 from enum import StrEnum
 
 from ladderhub.loop import Timer
-from ladderhub.node.admission import Ask, Key
+from ladderhub.node.admission import Offer, RunKey
 from ladderhub.node.runners import Work
 from ladderhub.pbs import names as n
 from ladderhub.pbs.attributes import variables_of
@@ -31,14 +31,14 @@
     RUNNING = "R"
 
 
-class HeldJob:
+class NodeJob:
     """A job that this node took in."""
 
     __slots__ = (
-        "ask",
         "attrs",
         "commit",
         "key",
+        "offer",
         "pending",
         "server",
         "started_ns",
@@ -46,8 +46,8 @@
         "work",
     )
 
-    def __init__(self, key: Key, ask: Ask, work: Work, attrs: list[Attr], server: str) -> None:
-        self.key, self.ask, self.work, self.attrs, self.server = key, ask, work, attrs, server
+    def __init__(self, key: RunKey, offer: Offer, work: Work, attrs: list[Attr], server: str) -> None:
+        self.key, self.offer, self.work, self.attrs, self.server = key, offer, work, attrs, server
         self.state = JobState.OFFERED
         self.commit: Callable[[Reply], None] | None = None  # answers its Commit, while that waits
         self.pending: Timer | None = None  # ends the wait for its Commit
@@ -61,7 +61,7 @@
     status: int
     reason: str
 
-    def row(self, key: Key) -> Row:
+    def row(self, key: RunKey) -> Row:
         """The row of Status Job."""
         attrs = [
             Attr("job_state", "F"),
@@ -83,18 +83,20 @@
     return int(text) if text.isascii() and text.isdigit() and len(text) <= _MAX_RUN_DIGITS else 0
 
 
-def held_job(request: Request, node: str) -> HeldJob:
+def held_job(request: Request, node: str) -> NodeJob:
     """The job of a Queue Job request; `ResourceError` where it asks for what nothing here acts on."""
     get, key = request.get, (request.job, run_of(request))
     resources = wanted({attr.resource: attr.value for attr in request.attrs if attr.name == "Resource_List"})
     cores = DEFAULT_CORES if resources.cores is None else resources.cores
     memory_gib = resources.memory / GIB
-    ask = Ask(key, get("service") or get("Job_Name"), cores, memory_gib, get("queue"), get("Account_Name"))
+    offer = Offer(
+        key, get("service") or get("Job_Name"), cores, memory_gib, get("queue"), get("Account_Name")
+    )
     work = Work(
         job=request.job,
         run=key[1],
         name=get("Job_Name") or DEFAULT_JOB_NAME,
-        queue=ask.queue,
+        queue=offer.queue,
         owner=get("Job_Owner"),
         script=b"",
         cores=cores,
@@ -111,7 +113,7 @@
         mpiprocs=resources.mpiprocs,
         ompthreads=resources.ompthreads,
     )
-    return HeldJob(key, ask, work, request.attrs, get("server_address"))
+    return NodeJob(key, offer, work, request.attrs, get("server_address"))
 
 
 def _umask_of(text: str) -> int:
--- a/ladderhub/node/outbox.py
+++ b/ladderhub/node/outbox.py
@@ -34,7 +34,7 @@
         elif self._stream.connected:
             self._send_queued()
 
-    def waiting(self) -> int:
+    def count_unacknowledged(self) -> int:
         return len(self._queue)
 
     def _connect(self) -> None:
--- a/ladderhub/server/nodelist.py
+++ b/ladderhub/server/nodelist.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ladderhub.directory.wire import Entry, Lines, Listed, Watch, DirectoryError, encode
+from ladderhub.directory.wire import Entry, MessageDecoder, Listed, Watch, DirectoryError, encode
 from ladderhub.interface import ListKind
 from ladderhub.loop import Loop, Stream
 from ladderhub.loop.stream import Address
@@ -35,7 +35,7 @@
         self.version = 0
         self.connected = False
         self._stream: Stream | None = None
-        self._lines = Lines()
+        self._lines = MessageDecoder()
         self._span = RETRY_NS[0]
         self._closed = self._dirty = False
 
@@ -49,7 +49,7 @@
 
     def _connect(self) -> None:
         if not self._closed:
-            self._lines = Lines()
+            self._lines = MessageDecoder()
             self._stream = connect_counted(
                 self._loop, self._address, self, CONNECT_NS, self._connected, self._count
             )
--- a/tests/directory/test_lists.py
+++ b/tests/directory/test_lists.py
@@ -10,7 +10,7 @@
 
 from ladderhub.directory import service
 from ladderhub.directory.service import Directory
-from ladderhub.directory.wire import Entry, Lines, Listed, Register, Room, State, Watch, encode
+from ladderhub.directory.wire import Entry, MessageDecoder, Listed, Register, Room, State, Watch, encode
 from ladderhub.loop import Loop, ManualClock
 from ladderhub.loop.stream import Address
 
@@ -26,7 +26,7 @@
         self._sock = socket.create_connection(address)
         self._sock.sendall(encode(Watch("scheduler", since)))
         self._sock.setblocking(False)
-        self._lines = Lines()
+        self._lines = MessageDecoder()
         self.told: list[Listed] = []
         self.listed: dict[str, Entry] = {}
         self.known_from = since  # the version whose list it began with
@@ -128,7 +128,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Guards against a state before a change that is looked for among kept changes, and no longer there.
-    monkeypatch.setattr(service, "CHANGES_MOST", 5)
+    monkeypatch.setattr(service, "MAX_CHANGES", 5)
     bed = Bed(1, 2)
     for name, sock in bed.nodes:
         sock.sendall(encode(Register(Entry(name, "127.0.0.1:1", "k", "r", "z", 1))))
--- a/tests/directory/test_settling.py
+++ b/tests/directory/test_settling.py
@@ -8,7 +8,7 @@
 import pytest
 
 from ladderhub.directory.service import Directory
-from ladderhub.directory.wire import Entry, Lines, Listed, Register, Watch, encode
+from ladderhub.directory.wire import Entry, MessageDecoder, Listed, Register, Watch, encode
 from ladderhub.loop import Loop, ManualClock
 
 MS = 1_000_000
@@ -53,7 +53,7 @@
             try:
                 data += sock.recv(1 << 16)
             except BlockingIOError:
-                return [message for message in Lines().feed(data) if isinstance(message, Listed)]
+                return [message for message in MessageDecoder().feed(data) if isinstance(message, Listed)]
 
     def close(self) -> None:
         for sock in self.sockets:
--- a/tests/hard_cases/test_nodes.py
+++ b/tests/hard_cases/test_nodes.py
@@ -105,7 +105,7 @@
     stale = [Attr("run_version", "99"), Attr("exit_reason", n.END_DONE)]
     outbox.send(Request(n.JOB_OBIT, "node@node-1", job, stale, status=3))
     outbox.send(Request(n.JOB_OBIT, "node@node-1", "77.nowhere", stale, status=3))
-    world.until(lambda: not outbox.waiting())
+    world.until(lambda: not outbox.count_unacknowledged())
     outbox.close()
     assert world.row(job).get("job_state") == "R" and len(daemon.jobs.live) == 1
     assert world.live(job) == [row.get("exec_host").partition("/")[0]]
--- a/tests/hard_cases/test_replies.py
+++ b/tests/hard_cases/test_replies.py
@@ -20,7 +20,7 @@
     # or has just looked; the last half of the script is too much, and its Commit must not start the first.
     world = make(1)
     agent = world.agents["node-1"]
-    agent.look_ns = (look_ms * MS, look_ms * MS)
+    agent.evaluation_ns = (look_ms * MS, look_ms * MS)
     attrs = [*attributes("w", "s", 1, 1, 30), Attr("run_version", "1")]
     offer = Request(n.QUEUE_JOB, job="1.alpha", attrs=attrs)
     half = Request(n.JOB_SCRIPT, job="1.alpha", data=b"x" * (n.SCRIPT_MOST // 2 + 1))
@@ -48,7 +48,7 @@
 def test_a_withdrawn_offer_is_answered_and_its_second_coming_is_looked_at(make: Make) -> None:
     world = make(1)
     agent = world.agents["node-1"]
-    agent.look_ns = (300 * MS, 300 * MS)
+    agent.evaluation_ns = (300 * MS, 300 * MS)
     attrs = [*attributes("w", "s", 1, 1, 30), Attr("run_version", "1")]
     first, second = (BatchClient(world.loop, agent.listener.address, "scheduler@alpha") for _ in "ab")
     replies: list[Reply | None] = []
--- a/tests/hard_cases/test_surroundings.py
+++ b/tests/hard_cases/test_surroundings.py
@@ -66,7 +66,7 @@
     daemon = world.daemon()
     job = world.submit("web", service="one")
     name = world.wait(job, "R").get("exec_host").partition("/")[0]
-    world.directory.cut_watchers()
+    world.directory.disconnect_watchers()
     world.crash(name)
     world.until(lambda: name not in daemon.nodes.entries)
     world.until(lambda: len(world.live(job)) == 1)
--- a/tests/test_auditor.py
+++ b/tests/test_auditor.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from ladderhub.directory.wire import Lines, Listed, encode
+from ladderhub.directory.wire import MessageDecoder, Listed, encode
 from ladderhub.lab import tap
 from ladderhub.lab.auditor import RULES, AuditRules, Verdict, audit
 from ladderhub.lab.day import audit_rules
@@ -163,7 +163,7 @@
     for record in records:
         if record.channel.startswith("list:") and record.way == "<":
             data = b""
-            for message in Lines().feed(record.data):
+            for message in MessageDecoder().feed(record.data):
                 assert isinstance(message, Listed)
                 entries = [
                     type(entry)(
@@ -186,7 +186,7 @@
     records, rules = recording
     _, request = offer_of(records, "batch")
     first = next(r for r in records if r.channel.startswith("list:") and r.way == "<")
-    parsed = Lines().feed(first.data)
+    parsed = MessageDecoder().feed(first.data)
     assert isinstance(parsed[0], Listed)
     entry = parsed[0].entries[0]
     ready = records[-1].at_ns
--- a/tests/world.py
+++ b/tests/world.py
@@ -44,7 +44,7 @@
         self.troubles: list[BaseException] = []
         self.loop = Loop(trouble=lambda where, fault: self.troubles.append(fault))
         self.tap = Tap(self.loop, folder / "recording.tap") if record else None
-        self.directory = Directory(self.loop, (own_host(), 0), delay_ns=0, lapse_ns=200 * MS)
+        self.directory = Directory(self.loop, (own_host(), 0), delay_ns=0, gone_delay_ns=200 * MS)
         self.settings: dict[str, Any] = copy.deepcopy(SETTINGS)
         self.settings["nodes"]["answers"] = answers
         for queue in self.settings["queues"].values():
@@ -75,7 +75,8 @@
             ),
             EmulatedRunner(self.loop, self.emulated, seed=len(self.agents) + 1), address=("127.0.0.1", port),
             directory=self.directory.address, advertise="{}:{}".format(*public), rack=f"rack-{name[-1]}",
-            look_ns=(1 * MS, 3 * MS), answers=rules["answers"], cold_times=self.emulated.cold_times, seed=7,
+            evaluation_ns=(1 * MS, 3 * MS), answers=rules["answers"], cold_times=self.emulated.cold_times,
+            seed=7,
         )  # fmt: skip
         agent.ready_ns = agent.admission.ready_ns = self.loop.now_ns() - 3600 * S
         agent.peers = self.agents
