--- a/ladderhub/directory/service.py
+++ b/ladderhub/directory/service.py
@@ -1,4 +1,4 @@
-"""The directory stand-in: keeps what nodes tell and pushes it to schedulers, a stated time late."""
+"""The directory server: keeps the rows that nodes report and pushes lists to schedulers after a delay."""
 
 from __future__ import annotations
 
@@ -28,12 +28,14 @@
 
 PUSH_INTERVAL_NS = 200_000_000
 MAX_CHANGES = 10_000
-VERSION_STEP_NS = 1_000  # a life begins at the version that a change each microsecond would have reached
+# The first version of a life is its start in microseconds since the epoch.  It exceeds every version of an
+# earlier life as long as changes are less frequent than one per microsecond.
+VERSION_STEP_NS = 1_000
 
 
 @dataclass(frozen=True, slots=True)
 class _Change:
-    """One version: the entry that it gave, and the one that it replaced."""
+    """One version: the time of the change, the new entry and the one that it replaced."""
 
     at_ns: int
     entry: Entry
@@ -41,11 +43,12 @@
 
 
 class Directory:
-    """One listener for nodes and schedulers.
+    """The directory server with one listener for nodes and schedulers.
 
-    A node whose connection ends stays listed as it was for `gone_delay_ns` and is then listed as gone.  For
-    `settle_ns` from its start it tells no full list, since nodes may not have registered again yet: whoever
-    kept the list of an earlier life would take those that it lacks for gone, and end what runs there."""
+    Schedulers receive a change `delay_ns` after it happened.  A node whose connection ends stays listed
+    unchanged for `gone_delay_ns` and is then listed as gone.  For `settle_ns` from its start the directory
+    sends no full list, because nodes may not have registered again: a scheduler with the list of an earlier
+    life would treat the missing nodes as gone, and the jobs that run there as ended."""
 
     def __init__(
         self, loop: Loop, address: Address, delay_ns: int = 1_000_000_000, gone_delay_ns: int = 1_000_000_000,
@@ -54,38 +57,40 @@
         self.loop, self.delay_ns, self.gone_delay_ns = loop, delay_ns, gone_delay_ns
         self._settled_ns = loop.now_ns() + settle_ns
         self.entries: dict[str, Entry] = {}
-        # Versions grow over all lives: one that an earlier life told must not pass for one of this life.
+        # Versions grow over all lives, so that one of an earlier life is not taken for one of this life.
         self.version = self._first_version = loop.now_ns() // VERSION_STEP_NS
-        self._owed_full: set[_Peer] = set()  # watchers that were told parts alone
-        self._owners: dict[str, _Peer] = {}
-        self._watchers: dict[_Peer, int] = {}  # the version that each was sent
-        self._changes: dict[int, _Change] = {}  # the last ones, by version
-        self._visible = self.version  # the newest version that is old enough to be told
+        self._full_list_pending: set[_Peer] = set()  # to be sent a full list once `settle_ns` is over
+        self._node_peers: dict[str, _Peer] = {}
+        self._watchers: dict[_Peer, int] = {}  # the version that each has
+        self._changes: dict[int, _Change] = {}  # the last MAX_CHANGES changes by version
+        self._visible_version = self.version  # the newest version that is at least `delay_ns` old
         self.traffic = Traffic()
         self.rounds = self.lists = self.rows_sent = self.log_entries_walked = 0
         self.listener = Listener(loop, address, self._accept)
-        self._timer = loop.call_later(PUSH_INTERVAL_NS, self._push)
+        self._timer = loop.call_later(PUSH_INTERVAL_NS, self._push_lists)
 
     @property
     def address(self) -> Address:
+        """The address of the listener."""
         return self.listener.address
 
     def _accept(self, sock: socket.socket) -> None:
         _Peer(self, sock)
 
     def close(self) -> None:
+        """Close the listener and all connections."""
         self._timer.cancel()
         self.listener.close()
-        for peer in [*self._owners.values(), *self._watchers]:
+        for peer in [*self._node_peers.values(), *self._watchers]:
             peer.stream.abort()
 
     def disconnect_watchers(self) -> None:
-        """Close every scheduler's connection: a fault that the lab asks for."""
+        """Close the connections of all schedulers, for fault injection."""
         for peer in list(self._watchers):
             peer.stream.abort()
 
     def stats(self) -> DirectoryStats:
-        """What it has spent; processor time is that of the whole process."""
+        """Return the statistics so far.  The processor time is that of the whole process."""
         return DirectoryStats(
             processor_seconds=time.process_time(),
             traffic=self.traffic.to_rows(),
@@ -97,109 +102,114 @@
             log_entries_walked=self.log_entries_walked,
         )
 
-    # --- what peers tell ----------------------------------------------------------------------------------
+    # --- messages of peers --------------------------------------------------------------------------------
 
     def handle_message(self, peer: _Peer, message: Message) -> None:
+        """Apply one message of a node or a scheduler."""
         match message:
             case Register(entry):
                 peer.node = entry.name
-                self._owners[entry.name] = peer
-                self._set(entry)
+                self._node_peers[entry.name] = peer
+                self._update_entry(entry)
             case Room(cores, memory) if peer.node in self.entries:
-                self._set(
+                self._update_entry(
                     msgspec.structs.replace(self.entries[peer.node], free_cores=cores, free_memory=memory)
                 )
             case State(stage) if peer.node in self.entries and stage in ("serving", "draining", "gone"):
-                self._set(msgspec.structs.replace(self.entries[peer.node], stage=stage))
+                self._update_entry(msgspec.structs.replace(self.entries[peer.node], stage=stage))
             case Watch(_, since):
                 peer.stream.count = self.traffic.of(SCHEDULER)
                 self._watchers[peer] = -1 if since > self.version else since
-                self._send(peer)
+                self._send_update(peer)
             case _:
-                raise DirectoryError(f"{type(message).__name__} is out of place here")
+                raise DirectoryError(f"unexpected message: {type(message).__name__}")
 
     def remove_peer(self, peer: _Peer) -> None:
+        """Forget a connection that has ended; its node is listed as gone after a delay."""
         self._watchers.pop(peer, None)
-        self._owed_full.discard(peer)
-        if peer.node and self._owners.get(peer.node) is peer:
-            del self._owners[peer.node]
-            self.loop.call_later(self.gone_delay_ns, self._lapsed, peer.node)
+        self._full_list_pending.discard(peer)
+        if peer.node and self._node_peers.get(peer.node) is peer:
+            del self._node_peers[peer.node]
+            self.loop.call_later(self.gone_delay_ns, self._mark_gone, peer.node)
 
-    def _lapsed(self, node: str) -> None:
-        if node not in self._owners and node in self.entries:
-            self._set(msgspec.structs.replace(self.entries[node], stage="gone"))
+    def _mark_gone(self, node: str) -> None:
+        if node not in self._node_peers and node in self.entries:
+            self._update_entry(msgspec.structs.replace(self.entries[node], stage="gone"))
 
-    def _set(self, entry: Entry) -> None:
+    def _update_entry(self, entry: Entry) -> None:
         before = self.entries.get(entry.name)
         if before == entry:
             return
         if len(self._changes) == MAX_CHANGES:
-            del self._changes[self._oldest()]
+            del self._changes[self._get_oldest_version()]
         self.entries[entry.name] = entry
         self.version += 1
         self._changes[self.version] = _Change(self.loop.now_ns(), entry, before)
 
-    # --- what schedulers are told ---------------------------------------------------------------------------
+    # --- lists for schedulers -------------------------------------------------------------------------------
 
-    def _visible_now(self) -> int:
-        """The newest version that is old enough to be told, or the one before all changes that are kept."""
+    def _advance_visible_version(self) -> int:
+        """Return the newest version that is `delay_ns` old, or the one before the oldest kept change."""
         newest_ns = self.loop.now_ns() - self.delay_ns
-        self._visible = max(self._visible, self._oldest() - 1)
-        while self._visible < self.version and self._change(self._visible + 1).at_ns <= newest_ns:
-            self._visible += 1
-        return self._visible
-
-    def _oldest(self) -> int:
-        """The first version whose change is kept."""
+        self._visible_version = max(self._visible_version, self._get_oldest_version() - 1)
+        while (
+            self._visible_version < self.version
+            and self._read_change(self._visible_version + 1).at_ns <= newest_ns
+        ):
+            self._visible_version += 1
+        return self._visible_version
+
+    def _get_oldest_version(self) -> int:
+        """Return the first version whose change is kept."""
         return self.version - len(self._changes) + 1
 
-    def _change(self, version: int) -> _Change:
+    def _read_change(self, version: int) -> _Change:
         self.log_entries_walked += 1
         return self._changes[version]
 
-    def _push(self) -> None:
+    def _push_lists(self) -> None:
         self.rounds += 1
-        self._visible_now()  # a change is walked once here, also while nobody watches
+        self._advance_visible_version()  # reads each change once, also without watchers
         for peer in list(self._watchers):
-            self._send(peer)
-        self._timer = self.loop.call_later(PUSH_INTERVAL_NS, self._push)
+            self._send_update(peer)
+        self._timer = self.loop.call_later(PUSH_INTERVAL_NS, self._push_lists)
 
-    def _send(self, peer: _Peer) -> None:
+    def _send_update(self, peer: _Peer) -> None:
         if peer.stream.backed_up():
             return
-        since, until = self._watchers[peer], self._visible_now()
+        since, until = self._watchers[peer], self._advance_visible_version()
         settled = self.loop.now_ns() >= self._settled_ns
-        owed = settled and peer in self._owed_full
-        if until <= since and since > 0 and not owed:
+        full_list_due = settled and peer in self._full_list_pending
+        if until <= since and since > 0 and not full_list_due:
             return
-        whole = owed or since <= 0 or since + 1 < self._oldest()
-        rows = self._listed(until) if whole else self._changed(since, until)
+        send_all = full_list_due or since <= 0 or since + 1 < self._get_oldest_version()
+        rows = self._collect_all(until) if send_all else self._collect_changes(since, until)
         if not rows:
             return
         self._watchers[peer] = until
-        if whole:
-            (self._owed_full.discard if settled else self._owed_full.add)(peer)
-        self._tell(peer, Listed("full" if whole and settled else "changes", until, rows))
+        if send_all:
+            (self._full_list_pending.discard if settled else self._full_list_pending.add)(peer)
+        self._send_list(peer, Listed("full" if send_all and settled else "changes", until, rows))
 
-    def _tell(self, peer: _Peer, listed: Listed) -> None:
+    def _send_list(self, peer: _Peer, listed: Listed) -> None:
         self.lists += 1
         self.rows_sent += len(listed.entries)
         peer.stream.count.messages_out += 1
         peer.stream.write(encode(listed))
 
-    def _changed(self, since: int, until: int) -> list[Entry]:
-        """What changed after one version and up to another, each entry as it was then."""
+    def _collect_changes(self, since: int, until: int) -> list[Entry]:
+        """Return the entries that changed after `since` and up to `until`, as they were at `until`."""
         changed: dict[str, Entry] = {}
         for version in range(until, since, -1):
-            entry = self._change(version).entry
+            entry = self._read_change(version).entry
             changed.setdefault(entry.name, entry)
         return list(changed.values())
 
-    def _listed(self, until: int) -> list[Entry]:
-        """All entries that are not gone, as they were at a version."""
+    def _collect_all(self, until: int) -> list[Entry]:
+        """Return all entries that are not gone, as they were at version `until`."""
         listed = dict(self.entries)
         for version in range(self.version, until, -1):
-            change = self._change(version)
+            change = self._read_change(version)
             if change.before is None:
                 del listed[change.entry.name]
             else:
@@ -208,16 +218,16 @@
 
 
 class _Peer:
-    """One connection, of a node or a scheduler."""
+    """One connection of a node or a scheduler."""
 
     def __init__(self, directory: Directory, sock: socket.socket) -> None:
-        self._directory, self._lines, self.node = directory, MessageDecoder(), ""
-        # A scheduler is told from a node by its first message.
+        self._directory, self._decoder, self.node = directory, MessageDecoder(), ""
+        # Traffic counts as that of a node until a Watch message shows that the peer is a scheduler.
         self.stream = CountedStream(directory.loop, sock, self, directory.traffic.of(NODE))
 
     def on_data(self, stream: Stream, data: bytes) -> None:
         try:
-            for message in self._lines.feed(data):
+            for message in self._decoder.feed(data):
                 self._directory.handle_message(self, message)
                 self.stream.count.messages_in += 1
         except DirectoryError as fault:
--- a/ladderhub/directory/stats.py
+++ b/ladderhub/directory/stats.py
@@ -1,4 +1,4 @@
-"""What the directory spends, as it is written to its statistics file."""
+"""The statistics of the directory, as written to its statistics file."""
 
 from __future__ import annotations
 
@@ -8,9 +8,12 @@
 
 
 class DirectoryStats(msgspec.Struct):
-    """`traffic` by kind of peer: node, scheduler.  `rows` are the nodes listed at the end, `changes` the new
-    versions of rows, `rows_sent` the rows in all lists.  `log_entries_walked` is the work of making lists
-    in steps, over `rounds` of pushing and `lists` that were sent."""
+    """Resource usage and work of a directory process.
+
+    `traffic` is by kind of peer: node, scheduler.  `rows` is the number of nodes listed at the end, `changes`
+    that of new versions of rows, `rounds` that of pushes, `lists` that of lists sent, `rows_sent` that of
+    rows in these lists.  `log_entries_walked` measures the work of building lists: the kept changes that were
+    read."""
 
     processor_seconds: float
     traffic: dict[str, TrafficRow]
--- a/ladderhub/directory/wire.py
+++ b/ladderhub/directory/wire.py
@@ -1,4 +1,4 @@
-"""Messages of the directory, one JSON object a line, told apart by `op`.
+"""Messages of the directory: one JSON object per line, whose type is in the field `op`.
 
 Node to directory: `register`, `room`, `state`.  Scheduler to directory: `watch`.  Directory to scheduler:
 `list`.  Times are nanoseconds since the epoch, memory is in GiB.
@@ -14,7 +14,7 @@
 
 
 class Entry(msgspec.Struct, frozen=True):
-    """One node as it is listed.  `stage`: serving, draining or gone.  `ready_ns`: its last start."""
+    """One listed node.  `stage`: serving, draining or gone.  `ready_ns`: time of its last start."""
 
     name: str
     address: str
@@ -28,13 +28,13 @@
 
 
 class Register(msgspec.Struct, tag_field="op", tag="register"):
-    """A node is up; the first message of its connection, whose end means that its process is gone."""
+    """A node is up: its first message.  When its connection ends, the node's process is gone."""
 
     entry: Entry
 
 
 class Room(msgspec.Struct, tag_field="op", tag="room"):
-    """What no accepted task has asked for."""
+    """The resources of a node that no accepted task has reserved."""
 
     free_cores: float
     free_memory: float
@@ -47,14 +47,14 @@
 
 
 class Watch(msgspec.Struct, tag_field="op", tag="watch"):
-    """Send lists from now on; changes alone where `since` is recent, else the full list first."""
+    """A subscription to lists: changes only if the version `since` is recent, else a full list first."""
 
     scheduler: str
     since: int = 0
 
 
 class Listed(msgspec.Struct, tag_field="op", tag="list"):
-    """`kind`: full or changes.  `version` grows by one with every change of any entry."""
+    """A list of nodes.  `kind` is full or changes; `version` grows by one with every change of any entry."""
 
     kind: str
     version: int
@@ -67,27 +67,28 @@
 
 
 class DirectoryError(LadderhubError):
-    """The bytes are no message of the directory."""
+    """The received bytes are not a valid or expected message of the directory."""
 
     status, code = 3, PROTOCOL
     remedy = "look what listens at the address that the settings give as `directory`"
 
 
 def encode(message: Message) -> bytes:
+    """Return a message as one line."""
     return _ENCODER.encode(message) + b"\n"
 
 
 class MessageDecoder:
-    """Bytes in, messages out."""
+    """Decodes messages from a stream of bytes."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._incomplete = b""
 
     def feed(self, data: bytes) -> list[Message]:
-        """Whole messages so far; `DirectoryError` at the first line that is none."""
-        *lines, self._rest = (self._rest + data).split(b"\n")
-        if len(self._rest) > MAX_LINE_BYTES:
-            raise DirectoryError(f"a line of more than {MAX_LINE_BYTES} bytes")
+        """Return the messages that are complete.  Raises `DirectoryError` at the first invalid line."""
+        *lines, self._incomplete = (self._incomplete + data).split(b"\n")
+        if len(self._incomplete) > MAX_LINE_BYTES:
+            raise DirectoryError(f"a line is longer than {MAX_LINE_BYTES} bytes")
         try:
             return [_DECODER.decode(line) for line in lines if line]
         except msgspec.MsgspecError as fault:
--- a/ladderhub/node/__init__.py
+++ b/ladderhub/node/__init__.py
@@ -1,6 +1,6 @@
-"""The node agent: takes jobs over the batch protocol, admits or refuses them, runs them, reports their end.
+"""The node agent: receives jobs over the batch protocol, admits or refuses, runs and reports them.
 
-`admission` decides, without I/O; `runners` start work (emulated or real); `jobs` are what was taken in;
-`connection`, `outbox` and `directory_link` hold the sockets, and `agent` joins these.  Imports `loop`, `pbs`
-and `directory.wire`; knows nothing of schedulers' decisions (`decide`, `owner`, `server`).
+`admission` decides, without I/O; `runners` run jobs (emulated or real); `jobs` holds the jobs of the node;
+`connection`, `outbox` and `directory_link` own the sockets, and `agent` connects them all.  Imports `loop`,
+`pbs`, `directory.wire` and `usage`; does not depend on schedulers (`decide`, `owner`, `server`).
 """
--- a/ladderhub/node/admission.py
+++ b/ladderhub/node/admission.py
@@ -1,6 +1,7 @@
-"""What a node decides: which ask it looks at, whether there is room, which start goes next, what stays warm.
+"""Admission control of a node: the queue of offers, resource checks, start slots, warm services, fenced runs.
 
-Pure: moments come as arguments, nothing here waits.  Cores are numbers, memory is GiB, times nanoseconds.
+Nothing here does I/O or reads the clock: the current time is an argument.  Memory is in GiB, times are in
+nanoseconds.
 """
 
 from __future__ import annotations
@@ -14,9 +15,12 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """One node.  `max_queued_offers` asks may wait to be looked at; `max_concurrent_starts` starts go side
-    by side; `kept` programs stay warm after their last task; fresh, it starts at `cold_pace` of its pace for
-    `cold_span_ns`."""
+    """Capacity and limits of one node.
+
+    Admitted jobs may use up to `admit_cores` times the cores and `admit_memory` times the memory.
+    `max_warm_services` is the number of services whose program stays warm after their last task has ended.  A
+    fresh node starts tasks at the share `cold_pace` of the usual pace, which rises to 1 over `cold_span_ns`.
+    A fenced run stays fenced for `fence_ttl_ns`."""
 
     cores: float
     memory: float
@@ -25,10 +29,10 @@
     admit_memory: float = 1.0
     max_queued_offers: int = 50
     max_concurrent_starts: int = 4
-    kept: int = 6
+    max_warm_services: int = 6
     cold_pace: float = 0.2
     cold_span_ns: int = 0
-    bar_ns: int = 3600 * 1_000_000_000
+    fence_ttl_ns: int = 3600 * 1_000_000_000
 
     def __post_init__(self) -> None:
         if self.cores <= 0 or self.memory <= 0:
@@ -43,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Offer:
-    """A job that is offered: what it asks for, and the service whose program it needs."""
+    """A job that a scheduler offers: the resources it requests and the service whose program it runs."""
 
     key: RunKey
     service: str
@@ -55,148 +59,151 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """`code` is a key of `pbs.names.REFUSALS`; `text` is for people."""
+    """Why an offer is refused: `code` is a key of `pbs.names.REFUSALS`, `text` is for people."""
 
     code: str
     text: str
 
 
 class Admission:
-    """The books of one node: room, the line of asks, start slots, warm programs, barred runs."""
+    """The state of one node: used resources, queued offers, start slots, warm services and fenced runs."""
 
     def __init__(self, settings: NodeSettings, ready_ns: int) -> None:
         self.settings, self.ready_ns = settings, ready_ns
         self.draining = False
-        self.used = [0.0, 0.0]
-        self._line: deque[Offer] = deque()
-        self._looking: Offer | None = None
-        self._taken: dict[RunKey, Offer] = {}  # admitted and not ended
-        self._waiting: deque[RunKey] = deque()  # committed, waiting for a start slot
+        self.used = [0.0, 0.0]  # cores and memory of the admitted jobs
+        self._offer_queue: deque[Offer] = deque()
+        self._evaluating: Offer | None = None
+        self._admitted: dict[RunKey, Offer] = {}  # admitted and not ended yet
+        self._awaiting_start: deque[RunKey] = deque()  # committed, waiting for a start slot
         self._starting: set[RunKey] = set()
-        self._running: dict[str, int] = {}  # services with started tasks
-        self._kept: OrderedDict[str, None] = OrderedDict()
-        self._barred: OrderedDict[RunKey, int] = OrderedDict()
+        self._running_tasks: dict[str, int] = {}  # number of running tasks by service
+        self._warm_services: OrderedDict[str, None] = OrderedDict()
+        self._fenced: OrderedDict[RunKey, int] = OrderedDict()
 
-    # --- asks -----------------------------------------------------------------------------------------------
+    # --- offers ---------------------------------------------------------------------------------------------
 
-    def enqueue(self, now: int, ask: Offer) -> Refusal | None:
-        """Put an ask in line; a refusal where it can't even wait."""
-        if len(self._line) >= self.settings.max_queued_offers:
-            return Refusal("LINE_FULL", f"{len(self._line)} asks wait already")
-        self._line.append(ask)
+    def enqueue(self, now: int, offer: Offer) -> Refusal | None:
+        """Queue an offer for evaluation, or return a refusal if the queue is full."""
+        if len(self._offer_queue) >= self.settings.max_queued_offers:
+            return Refusal("LINE_FULL", f"{len(self._offer_queue)} asks wait already")
+        self._offer_queue.append(offer)
         return None
 
     def begin_evaluation(self) -> Offer | None:
-        """The ask to look at now, one at a time; None while one is being looked at or none waits."""
-        if self._looking is not None or not self._line:
+        """Take the next offer from the queue, or return None if one is being evaluated or none is queued."""
+        if self._evaluating is not None or not self._offer_queue:
             return None
-        self._looking = self._line.popleft()
-        return self._looking
+        self._evaluating = self._offer_queue.popleft()
+        return self._evaluating
 
     def finish_evaluation(self, now: int) -> Refusal | None:
-        """The look is over: the ask is taken in, with its room, or refused."""
-        ask, self._looking = self._looking, None
-        assert ask is not None
-        refusal = self._judge(now, ask)
+        """Admit the offer under evaluation and reserve its resources, or return the refusal."""
+        offer, self._evaluating = self._evaluating, None
+        assert offer is not None
+        refusal = self._find_refusal(now, offer)
         if refusal is None:
-            self._taken[ask.key] = ask
-            self.used[0] += ask.cores
-            self.used[1] += ask.memory
+            self._admitted[offer.key] = offer
+            self.used[0] += offer.cores
+            self.used[1] += offer.memory
         return refusal
 
-    def _judge(self, now: int, ask: Offer) -> Refusal | None:
+    def _find_refusal(self, now: int, offer: Offer) -> Refusal | None:
         settings = self.settings
         if self.draining:
             return Refusal("NOT_HERE", "the node drains")
-        if self.is_barred(now, ask.key):
+        if self.is_fenced(now, offer.key):
             return Refusal("NOT_HERE", "the offer came too late")
-        if any(key[0] == ask.key[0] for key in self._taken):
+        if any(key[0] == offer.key[0] for key in self._admitted):
             return Refusal("NOT_HERE", "a copy of the job stands here")
-        for at, name, limit, amount in (
-            (0, "CORES", settings.cores * settings.admit_cores, ask.cores),
-            (1, "MEMORY", settings.memory * settings.admit_memory, ask.memory),
+        for index, code, limit, amount in (
+            (0, "CORES", settings.cores * settings.admit_cores, offer.cores),
+            (1, "MEMORY", settings.memory * settings.admit_memory, offer.memory),
         ):
-            if self.used[at] + amount > limit + 1e-9:
-                unit = "cores" if at == 0 else "GiB"
-                free = max(0.0, limit - self.used[at])
-                return Refusal(name, f"{amount:g} {unit} asked, {free:g} free")
+            if self.used[index] + amount > limit + 1e-9:
+                unit = "cores" if index == 0 else "GiB"
+                free = max(0.0, limit - self.used[index])
+                return Refusal(code, f"{amount:g} {unit} asked, {free:g} free")
         return None
 
     def withdraw(self, key: RunKey) -> bool:
-        """An ask that was not committed is no longer wanted; True where its room was given back."""
-        self._line = deque(ask for ask in self._line if ask.key != key)
+        """Withdraw an uncommitted offer.  Return True if it was admitted, so that resources are released."""
+        self._offer_queue = deque(offer for offer in self._offer_queue if offer.key != key)
         return self.release_resources(key)
 
     # --- starts ---------------------------------------------------------------------------------------------
 
     def commit(self, key: RunKey) -> bool:
-        """The job may start; False where it was not taken in."""
-        if key not in self._taken:
+        """Queue an admitted job for a start slot.  Return False if it was not admitted."""
+        if key not in self._admitted:
             return False
-        self._waiting.append(key)
+        self._awaiting_start.append(key)
         return True
 
     def begin_next_start(self) -> tuple[Offer, bool] | None:
-        """The job that may start now, and whether its program is warm."""
-        if not self._waiting or len(self._starting) >= self.settings.max_concurrent_starts:
+        """Take a start slot for the next waiting job.  Return the job and whether its program is warm."""
+        if not self._awaiting_start or len(self._starting) >= self.settings.max_concurrent_starts:
             return None
-        key = self._waiting.popleft()
-        ask = self._taken[key]
+        key = self._awaiting_start.popleft()
+        offer = self._admitted[key]
         self._starting.add(key)
-        return ask, ask.service in self._running or ask.service in self._kept
+        return offer, offer.service in self._running_tasks or offer.service in self._warm_services
 
     def mark_started(self, key: RunKey) -> None:
+        """Free the start slot of a job that runs now."""
         self._starting.discard(key)
-        service = self._taken[key].service
-        self._kept.pop(service, None)
-        self._running[service] = self._running.get(service, 0) + 1
+        service = self._admitted[key].service
+        self._warm_services.pop(service, None)
+        self._running_tasks[service] = self._running_tasks.get(service, 0) + 1
 
     def release_resources(self, key: RunKey) -> bool:
-        """The job is over or called off: its room is free; False where it is not known."""
-        ask = self._taken.pop(key, None)
-        if ask is None:
+        """Release the resources of a job that ended or was cancelled.  Return False if it is not known."""
+        offer = self._admitted.pop(key, None)
+        if offer is None:
             return False
-        self.used[0] -= ask.cores
-        self.used[1] -= ask.memory
-        was_running = key not in self._starting and key not in self._waiting
+        self.used[0] -= offer.cores
+        self.used[1] -= offer.memory
+        was_running = key not in self._starting and key not in self._awaiting_start
         self._starting.discard(key)
-        if key in self._waiting:
-            self._waiting.remove(key)
-        if was_running and self._running.get(ask.service):
-            self._running[ask.service] -= 1
-            if not self._running[ask.service]:
-                del self._running[ask.service]
-                self._kept[ask.service] = None
-                while len(self._kept) > self.settings.kept:
-                    self._kept.popitem(last=False)
+        if key in self._awaiting_start:
+            self._awaiting_start.remove(key)
+        if was_running and self._running_tasks.get(offer.service):
+            self._running_tasks[offer.service] -= 1
+            if not self._running_tasks[offer.service]:
+                del self._running_tasks[offer.service]
+                self._warm_services[offer.service] = None
+                while len(self._warm_services) > self.settings.max_warm_services:
+                    self._warm_services.popitem(last=False)
         return True
 
     def discard_warm_services(self) -> None:
-        """The kept programs are lost."""
-        self._kept.clear()
+        """Forget the programs that stayed warm after their last task."""
+        self._warm_services.clear()
 
-    # --- what is told ---------------------------------------------------------------------------------------
+    # --- figures --------------------------------------------------------------------------------------------
 
-    def pace(self, now: int) -> float:
-        """Share of the usual speed of starts: a fresh node is slow, and gains in a straight line."""
+    def compute_start_pace(self, now: int) -> float:
+        """Return the node's share of the usual start pace.  It rises linearly while the node is fresh."""
         age, span = now - self.ready_ns, self.settings.cold_span_ns
         if age >= span:
             return 1.0
         return self.settings.cold_pace + (1 - self.settings.cold_pace) * age / span
 
     def get_free_resources(self) -> tuple[float, float]:
-        """Cores and memory that nobody has asked for; below 0 where more was taken in."""
+        """Return the cores and memory that are not reserved; negative if the node is overcommitted."""
         return self.settings.cores - self.used[0], self.settings.memory - self.used[1]
 
-    # --- bars -----------------------------------------------------------------------------------------------
+    # --- fences ---------------------------------------------------------------------------------------------
 
-    def bar(self, now: int, key: RunKey) -> None:
-        """This run must never start here: its scheduler counts on that.
+    def fence(self, now: int, key: RunKey) -> None:
+        """Ensure that a run can no longer start here.
 
-        Danger: an offer that is still on its way when its scheduler has asked and was told «unknown»."""
-        self._barred[key] = now
-        while self._barred and now - next(iter(self._barred.values())) > self.settings.bar_ns:
-            self._barred.popitem(last=False)
+        A scheduler that was told that the run is unknown relies on this, although its offer may still be on
+        the way."""
+        self._fenced[key] = now
+        while self._fenced and now - next(iter(self._fenced.values())) > self.settings.fence_ttl_ns:
+            self._fenced.popitem(last=False)
 
-    def is_barred(self, now: int, key: RunKey) -> bool:
-        return key in self._barred and now - self._barred[key] <= self.settings.bar_ns
+    def is_fenced(self, now: int, key: RunKey) -> bool:
+        """Tell whether this run must not start here."""
+        return key in self._fenced and now - self._fenced[key] <= self.settings.fence_ttl_ns
--- a/ladderhub/node/directory_link.py
+++ b/ladderhub/node/directory_link.py
@@ -1,4 +1,4 @@
-"""A node's connection to the directory: registered, with its free room told at intervals."""
+"""A node's connection to the directory: registers the node and reports its free resources at intervals."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 
 
 class DirectoryLink:
-    """Keeps the node registered; a lost connection is made anew.
+    """Keeps the node registered and reconnects after a connection is lost.
 
-    `entry` gives the node's row as it stands, `free` its free cores and memory."""
+    `get_entry` returns the node's current row, `get_free` its free cores and memory."""
 
     def __init__(
         self,
         loop: Loop,
         address: Address,
-        entry: Callable[[], Entry],
-        free: Callable[[], tuple[float, float]],
-        count: TrafficCount,
+        get_entry: Callable[[], Entry],
+        get_free: Callable[[], tuple[float, float]],
+        traffic: TrafficCount,
     ) -> None:
-        self._count = count
-        self._loop, self._address, self._entry, self._free = loop, address, entry, free
+        self._traffic = traffic
+        self._loop, self._address, self._get_entry, self._get_free = loop, address, get_entry, get_free
         self._stream: Stream | None = None
         self._room_timer: Timer | None = None
         self._last_sent: Room | None = None
@@ -40,28 +40,29 @@
     def _connect(self) -> None:
         if not self._closed:
             self._stream = connect_counted(
-                self._loop, self._address, self, CONNECT_TIMEOUT_NS, self._on_connected, self._count
+                self._loop, self._address, self, CONNECT_TIMEOUT_NS, self._on_connected, self._traffic
             )
 
     def _on_connected(self, stream: Stream) -> None:
-        self._count.messages_out += 1
-        stream.write(encode(Register(self._entry())))
+        self._traffic.messages_out += 1
+        stream.write(encode(Register(self._get_entry())))
         self._send_room()
 
     def _send_room(self) -> None:
-        room = Room(*self._free())
+        room = Room(*self._get_free())
         if room != self._last_sent:
             self._last_sent = room
             self.send(room)
         self._room_timer = self._loop.call_later(ROOM_INTERVAL_NS, self._send_room)
 
     def send(self, message: Room | State) -> None:
+        """Send a message if there is a connection; the next registration brings a lost one up to date."""
         if self._stream is not None and self._stream.connected:
-            self._count.messages_out += 1
+            self._traffic.messages_out += 1
             self._stream.write(encode(message))
 
     def on_data(self, stream: Stream, data: bytes) -> None:
-        return
+        return  # the directory sends nothing to nodes
 
     def on_closed(self, stream: Stream, fault: BaseException | None) -> None:
         self._stream, self._last_sent = None, None
@@ -71,6 +72,7 @@
             self._loop.call_later(RECONNECT_NS, self._connect)
 
     def close(self) -> None:
+        """Close the connection and stop reconnecting."""
         self._closed = True
         if self._room_timer is not None:
             self._room_timer.cancel()
--- a/ladderhub/node/jobs.py
+++ b/ladderhub/node/jobs.py
@@ -1,4 +1,4 @@
-"""A job that a node took in, and how it is read from an offer's Queue Job request."""
+"""Jobs on a node, and how they are parsed from the Queue Job request of an offer."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from ladderhub.loop import Timer
 from ladderhub.node.admission import Offer, RunKey
-from ladderhub.node.runners import Work
+from ladderhub.node.runners import JobSpec
 from ladderhub.pbs import names as n
 from ladderhub.pbs.attributes import variables_of
 from ladderhub.pbs.batch import Attr, Reply, Request, Row
@@ -16,41 +16,41 @@
 
 DEFAULT_JOB_NAME = "STDIN"
 DEFAULT_CORES = 1.0
-NO_UMASK = -1
-FENCE = "fence:"  # extension of Status Job: bar the run where it is not known
+NO_UMASK = -1  # keeps the umask of the agent
+FENCE_PREFIX = "fence:"  # in the extension of Status Job: fence the run if it is not known
 _MAX_RUN_DIGITS = 9
 _OCTAL_DIGITS = set("01234567")
 
 
 class JobState(StrEnum):
-    """Where a job stands on its node.  The values are those of `job_state`, but for STARTING."""
+    """State of a job on its node.  The values are those of the attribute `job_state`, except STARTING."""
 
-    OFFERED = "T"  # taken in, and not committed yet
+    OFFERED = "T"  # received, and not committed yet
     WAITING = "Q"  # committed, and waiting for a start slot
-    STARTING = "S"  # shown as Q
+    STARTING = "S"  # reported as Q
     RUNNING = "R"
 
 
 class NodeJob:
-    """A job that this node took in."""
+    """A job that was offered to this node and has not ended."""
 
     __slots__ = (
+        "answer_commit",
         "attrs",
-        "commit",
+        "commit_timer",
         "key",
         "offer",
-        "pending",
-        "server",
+        "server_address",
+        "spec",
         "started_ns",
         "state",
-        "work",
     )
 
-    def __init__(self, key: RunKey, offer: Offer, work: Work, attrs: list[Attr], server: str) -> None:
-        self.key, self.offer, self.work, self.attrs, self.server = key, offer, work, attrs, server
+    def __init__(self, key: RunKey, offer: Offer, spec: JobSpec, attrs: list[Attr], server: str) -> None:
+        self.key, self.offer, self.spec, self.attrs, self.server_address = key, offer, spec, attrs, server
         self.state = JobState.OFFERED
-        self.commit: Callable[[Reply], None] | None = None  # answers its Commit, while that waits
-        self.pending: Timer | None = None  # ends the wait for its Commit
+        self.answer_commit: Callable[[Reply], None] | None = None  # set while its Commit is unanswered
+        self.commit_timer: Timer | None = None  # withdraws the offer if no Commit comes
         self.started_ns = 0
 
 
@@ -61,8 +61,8 @@
     status: int
     reason: str
 
-    def row(self, key: RunKey) -> Row:
-        """The row of Status Job."""
+    def to_row(self, key: RunKey) -> Row:
+        """Return the row of Status Job for this run."""
         attrs = [
             Attr("job_state", "F"),
             Attr("Exit_status", str(self.status)),
@@ -71,28 +71,28 @@
         return Row(n.OBJ_JOB, key[0], attrs)
 
 
-def fenced_run(extension: str) -> int:
-    """The run that a fence speaks of; 0 where it names none."""
-    text = extension.removeprefix(FENCE)
+def parse_fenced_run(extension: str) -> int:
+    """Return the run that is named by a fence extension, or 0 if it names none."""
+    text = extension.removeprefix(FENCE_PREFIX)
     return int(text) if text.isascii() and text.isdigit() else 0
 
 
-def run_of(request: Request) -> int:
-    """The run that a request speaks of; 0 where it names none."""
+def parse_run(request: Request) -> int:
+    """Return the `run_version` of a request, or 0 if it names none."""
     text = request.get("run_version", "0")
     return int(text) if text.isascii() and text.isdigit() and len(text) <= _MAX_RUN_DIGITS else 0
 
 
-def held_job(request: Request, node: str) -> NodeJob:
-    """The job of a Queue Job request; `ResourceError` where it asks for what nothing here acts on."""
-    get, key = request.get, (request.job, run_of(request))
+def parse_job(request: Request, node: str) -> NodeJob:
+    """Return the job of a Queue Job request.  Raises `ResourceError` if it requests unsupported resources."""
+    get, key = request.get, (request.job, parse_run(request))
     resources = wanted({attr.resource: attr.value for attr in request.attrs if attr.name == "Resource_List"})
     cores = DEFAULT_CORES if resources.cores is None else resources.cores
     memory_gib = resources.memory / GIB
     offer = Offer(
         key, get("service") or get("Job_Name"), cores, memory_gib, get("queue"), get("Account_Name")
     )
-    work = Work(
+    spec = JobSpec(
         job=request.job,
         run=key[1],
         name=get("Job_Name") or DEFAULT_JOB_NAME,
@@ -108,13 +108,13 @@
         join=get("Join_Path", "n"),
         shell=get("Shell_Path_List"),
         keep=get("Keep_Files", "n"),
-        umask=_umask_of(get("umask")),
+        umask=_parse_umask(get("umask")),
         node=node,
         mpiprocs=resources.mpiprocs,
         ompthreads=resources.ompthreads,
     )
-    return NodeJob(key, offer, work, request.attrs, get("server_address"))
+    return NodeJob(key, offer, spec, request.attrs, get("server_address"))
 
 
-def _umask_of(text: str) -> int:
+def _parse_umask(text: str) -> int:
     return int(text, 8) if text and not set(text) - _OCTAL_DIGITS else NO_UMASK
--- a/ladderhub/node/outbox.py
+++ b/ladderhub/node/outbox.py
@@ -1,4 +1,4 @@
-"""What a node tells one scheduler of its own accord: updates and obituaries of jobs."""
+"""Unsolicited messages of a node to one scheduler: updates and obituaries of jobs."""
 
 from __future__ import annotations
 
@@ -15,19 +15,20 @@
 
 
 class Outbox:
-    """Requests to one scheduler: in order, each sent again until it is acknowledged."""
+    """Sends requests to one scheduler in order, and repeats each until it is acknowledged."""
 
-    def __init__(self, loop: Loop, address: str, count: TrafficCount | None = None) -> None:
-        self._count = count or TrafficCount()
+    def __init__(self, loop: Loop, address: str, traffic: TrafficCount | None = None) -> None:
+        self._traffic = traffic or TrafficCount()
         self._loop, self._address = loop, parse_address(address)
         self._queue: list[Request] = []  # not acknowledged yet
-        self._sent_count = 0  # of these, how many this connection has sent
+        self._sent_count = 0  # how many of them were sent on this connection
         self._stream: Stream | None = None
         self._parser = ReplyParser()
         self._retry_ns = FIRST_RETRY_NS
         self._closed = False
 
     def send(self, request: Request) -> None:
+        """Queue a request and send it as soon as there is a connection."""
         self._queue.append(request)
         if self._stream is None:
             self._connect()
@@ -35,6 +36,7 @@
             self._send_queued()
 
     def count_unacknowledged(self) -> int:
+        """Return the number of requests that are not acknowledged yet."""
         return len(self._queue)
 
     def _connect(self) -> None:
@@ -42,28 +44,28 @@
             return
         self._parser, self._sent_count = ReplyParser(), 0
         self._stream = connect_counted(
-            self._loop, self._address, self, CONNECT_TIMEOUT_NS, lambda _: self._send_queued(), self._count
+            self._loop, self._address, self, CONNECT_TIMEOUT_NS, lambda _: self._send_queued(), self._traffic
         )
 
     def _send_queued(self) -> None:
         while self._sent_count < len(self._queue) and self._stream is not None:
             self._stream.write(encode_request(self._queue[self._sent_count]))
-            self._count.messages_out += 1
+            self._traffic.messages_out += 1
             self._sent_count += 1
 
     def on_data(self, stream: Stream, data: bytes) -> None:
         self._parser.feed(data)
         try:
             while self._parser.next() is not None:
-                self._count.messages_in += 1
-                self._acknowledged()
+                self._traffic.messages_in += 1
+                self._acknowledge()
         except DisError as fault:
             stream.abort(fault)
 
-    def _acknowledged(self) -> None:
-        """Any reply will do: a scheduler that does not know the run has nothing to learn."""
+    def _acknowledge(self) -> None:
+        """Remove the oldest request, also on an error reply: that scheduler does not know the run."""
         if not self._sent_count:
-            raise DisError("an answer that nothing was asked for")
+            raise DisError("reply without an outstanding request")
         del self._queue[0]
         self._sent_count -= 1
         self._retry_ns = FIRST_RETRY_NS
@@ -75,6 +77,7 @@
             self._retry_ns = min(MAX_RETRY_NS, 2 * self._retry_ns)
 
     def close(self) -> None:
+        """Close the connection and stop sending."""
         self._closed = True
         if self._stream is not None:
             self._stream.abort()
--- a/tests/directory/test_lists.py
+++ b/tests/directory/test_lists.py
@@ -1,4 +1,4 @@
-"""What schedulers are told is each entry as it stood at the version of the list, whatever was told before."""
+"""Lists sent to schedulers contain each entry as it was at the version of the list."""
 
 from __future__ import annotations
 
@@ -20,25 +20,25 @@
 
 
 class Watcher:
-    """A scheduler: what it was told, and the list that follows from that."""
+    """A scheduler: the lists that it received and the entries that result from them."""
 
     def __init__(self, address: Address, since: int) -> None:
         self._sock = socket.create_connection(address)
         self._sock.sendall(encode(Watch("scheduler", since)))
         self._sock.setblocking(False)
-        self._lines = MessageDecoder()
-        self.told: list[Listed] = []
+        self._decoder = MessageDecoder()
+        self.received: list[Listed] = []
         self.listed: dict[str, Entry] = {}
-        self.known_from = since  # the version whose list it began with
+        self.since = since  # the version whose list it had at its start
 
     def read(self) -> None:
         try:
             data = self._sock.recv(1 << 22)
         except BlockingIOError:
             return
-        for message in self._lines.feed(data):
+        for message in self._decoder.feed(data):
             assert isinstance(message, Listed)
-            self.told.append(message)
+            self.received.append(message)
             if message.kind == "full":
                 self.listed = {}
             for entry in message.entries:
@@ -51,8 +51,8 @@
         self._sock.close()
 
 
-class Bed:
-    """A directory with nodes whose changes come by seed, and the whole history beside it."""
+class DirectoryHarness:
+    """A directory with nodes that change at random by a seed, and a copy of the entries of every version."""
 
     def __init__(self, seed: int, nodes: int) -> None:
         self.clock = ManualClock(S)
@@ -72,17 +72,17 @@
         else:
             sock.sendall(encode(Room(float(self.random.randrange(3)), 1.0)))
         version = self.directory.version
-        self._turn()
+        self._run_loop()
         assert self.directory.version - version <= 1
         self.history[self.directory.version] = dict(self.directory.entries)
 
-    def _turn(self) -> None:
+    def _run_loop(self) -> None:
         for _ in range(3):
             self.loop.turn(1_000_000)
 
     def step(self) -> None:
         self.clock.advance(STEP_NS)
-        self._turn()
+        self._run_loop()
 
     def close(self) -> None:
         for _, sock in self.nodes:
@@ -92,33 +92,33 @@
 
 
 @pytest.fixture(params=range(4))
-def bed(request: pytest.FixtureRequest) -> Iterator[Bed]:
-    made = Bed(request.param, 6)
-    yield made
-    made.close()
+def harness(request: pytest.FixtureRequest) -> Iterator[DirectoryHarness]:
+    created = DirectoryHarness(request.param, 6)
+    yield created
+    created.close()
 
 
 def serving(entries: dict[str, Entry]) -> dict[str, Entry]:
     return {name: entry for name, entry in entries.items() if entry.stage != "gone"}
 
 
-def test_each_list_gives_the_entries_as_they_stood_at_its_version(bed: Bed) -> None:
+def test_each_list_gives_the_entries_as_they_stood_at_its_version(harness: DirectoryHarness) -> None:
     watchers: list[Watcher] = []
-    for round_ in range(160):
-        for _ in range(bed.random.randrange(4)):
-            bed.change()
-        if round_ % 9 == 0:
-            known = bed.random.choice([0, 0, *bed.history])
-            watchers.append(Watcher(bed.directory.address, known))
-            watchers[-1].listed = dict(serving(bed.history.get(known, {})))
-        bed.step()
+    for round_number in range(160):
+        for _ in range(harness.random.randrange(4)):
+            harness.change()
+        if round_number % 9 == 0:
+            since = harness.random.choice([0, 0, *harness.history])
+            watchers.append(Watcher(harness.directory.address, since))
+            watchers[-1].listed = dict(serving(harness.history.get(since, {})))
+        harness.step()
         for watcher in watchers:
-            before = len(watcher.told)
+            before = len(watcher.received)
             watcher.read()
-            if len(watcher.told) > before:
-                assert watcher.listed == serving(bed.history[watcher.told[-1].version])
-    assert sum(len(watcher.told) for watcher in watchers) > 100
-    kinds = {told.kind for watcher in watchers for told in watcher.told}
+            if len(watcher.received) > before:
+                assert watcher.listed == serving(harness.history[watcher.received[-1].version])
+    assert sum(len(watcher.received) for watcher in watchers) > 100
+    kinds = {listed.kind for watcher in watchers for listed in watcher.received}
     assert kinds == {"full", "changes"}
     for watcher in watchers:
         watcher.close()
@@ -127,35 +127,37 @@
 def test_a_node_that_last_changed_long_ago_is_in_a_full_list_also_while_it_changes_anew(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards against a state before a change that is looked for among kept changes, and no longer there.
+    # Guards against lists that look up the previous entry of a node among the kept changes: the change that
+    # made it may have been dropped.
     monkeypatch.setattr(service, "MAX_CHANGES", 5)
-    bed = Bed(1, 2)
-    for name, sock in bed.nodes:
+    harness = DirectoryHarness(1, 2)
+    for name, sock in harness.nodes:
         sock.sendall(encode(Register(Entry(name, "127.0.0.1:1", "k", "r", "z", 1))))
-        bed.step()
+        harness.step()
     for cores in range(10):
-        bed.nodes[1][1].sendall(encode(Room(float(cores), 1.0)))
-        bed.step()
-    bed.clock.advance(2 * DELAY_NS)
-    bed.nodes[0][1].sendall(encode(Room(7.0, 1.0)))  # too young to be told
-    bed.step()
-    watcher = Watcher(bed.directory.address, 0)
-    bed.step()
+        harness.nodes[1][1].sendall(encode(Room(float(cores), 1.0)))
+        harness.step()
+    harness.clock.advance(2 * DELAY_NS)
+    harness.nodes[0][1].sendall(encode(Room(7.0, 1.0)))  # too recent to be sent
+    harness.step()
+    watcher = Watcher(harness.directory.address, 0)
+    harness.step()
     watcher.read()
-    assert {entry.name: entry.free_cores for entry in watcher.told[0].entries} == {"n0": 0.0, "n1": 9.0}
+    assert {entry.name: entry.free_cores for entry in watcher.received[0].entries} == {"n0": 0.0, "n1": 9.0}
     watcher.close()
-    bed.close()
+    harness.close()
 
 
-def test_the_work_of_a_list_does_not_grow_with_what_is_kept(bed: Bed) -> None:
+def test_the_work_of_a_list_does_not_grow_with_what_is_kept(harness: DirectoryHarness) -> None:
     for _ in range(400):
-        bed.change()
-    bed.clock.advance(2 * DELAY_NS)
-    bed.step()
+        harness.change()
+    harness.clock.advance(2 * DELAY_NS)
+    harness.step()
     for _ in range(5):
-        bed.change()
-    walked = bed.directory.log_entries_walked
-    watcher = Watcher(bed.directory.address, 0)
-    bed.step()
-    assert bed.directory.log_entries_walked - walked <= 20  # five changes, each for a list and for pushes
+        harness.change()
+    walked = harness.directory.log_entries_walked
+    watcher = Watcher(harness.directory.address, 0)
+    harness.step()
+    # Each of the five changes is read for the list and for pushes.
+    assert harness.directory.log_entries_walked - walked <= 20
     watcher.close()
--- a/tests/directory/test_settling.py
+++ b/tests/directory/test_settling.py
@@ -1,4 +1,4 @@
-"""A directory that starts anew: nodes that have not registered again yet are not told as gone."""
+"""A restarted directory does not list nodes as gone that have not registered again yet."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 SETTLE_NS = 5 * S
 
 
-class Bed:
-    """A directory on a clock that the test moves, and plain sockets to it."""
+class DirectoryHarness:
+    """A directory with a manual clock, and plain sockets connected to it."""
 
     def __init__(self) -> None:
         self.clock = ManualClock(START_NS)
@@ -41,7 +41,7 @@
         return self.connect(Register(Entry(name, "127.0.0.1:1", "small", "rack-1", "zone-1", START_NS)))
 
     def wait(self, span_ns: int) -> None:
-        """Let the clock pass, in steps below a push, and the loop do what is due."""
+        """Advance the clock, in steps shorter than a push interval, and run the loop after each."""
         for _ in range(max(1, span_ns // (100 * MS))):
             self.clock.advance(min(span_ns, 100 * MS))
             for _ in range(4):
@@ -63,46 +63,46 @@
 
 
 @pytest.fixture
-def bed() -> Iterator[Bed]:
-    made = Bed()
-    yield made
-    made.close()
+def harness() -> Iterator[DirectoryHarness]:
+    created = DirectoryHarness()
+    yield created
+    created.close()
 
 
 def names(listed: Listed) -> set[str]:
     return {entry.name for entry in listed.entries}
 
 
-def test_no_full_list_is_told_before_nodes_had_time_to_register_again(bed: Bed) -> None:
-    # Guards against the first full list of a directory that was started anew: it lacked nodes that registered
-    # a moment later, schedulers took them for gone, and jobs that ran there were started elsewhere.
-    bed.register("early")
-    watcher = bed.connect(Watch("sched", since=7))
-    bed.wait(2 * S)
-    bed.register("late")
-    bed.wait(2 * S)
-    told = bed.lists(watcher)
-    assert {listed.kind for listed in told} == {"changes"}
-    assert set.union(*map(names, told)) == {"early", "late"}
-    bed.wait(2 * S)
-    (full,) = bed.lists(watcher)
+def test_no_full_list_is_sent_before_nodes_had_time_to_register_again(harness: DirectoryHarness) -> None:
+    # Guards against a full list that a restarted directory sends too early: nodes that register later are
+    # missing, schedulers treat them as gone, and jobs that run there are started elsewhere.
+    harness.register("early")
+    watcher = harness.connect(Watch("sched", since=7))
+    harness.wait(2 * S)
+    harness.register("late")
+    harness.wait(2 * S)
+    received = harness.lists(watcher)
+    assert {listed.kind for listed in received} == {"changes"}
+    assert set.union(*map(names, received)) == {"early", "late"}
+    harness.wait(2 * S)
+    (full,) = harness.lists(watcher)
     assert full.kind == "full" and names(full) == {"early", "late"}
-    bed.register("later")
-    bed.wait(2 * S)
-    (change,) = bed.lists(watcher)
+    harness.register("later")
+    harness.wait(2 * S)
+    (change,) = harness.lists(watcher)
     assert change.kind == "changes" and names(change) == {"later"}
 
 
-def test_a_version_of_an_earlier_life_is_not_taken_for_one_of_this_life(bed: Bed) -> None:
-    # Guards against versions that began at one in each life: whoever knew a lower one was told what came
-    # after it in the new life, and never what had registered before.
-    bed.register("first")
-    before = bed.directory.version
-    bed.directory.close()
-    bed.wait(S)
-    bed.directory = bed.start()
+def test_a_version_of_an_earlier_life_is_not_taken_for_one_of_this_life(harness: DirectoryHarness) -> None:
+    # Guards against versions that begin at one in each life: a scheduler with a lower version of the previous
+    # life receives only later changes, and never the nodes that registered before them.
+    harness.register("first")
+    before = harness.directory.version
+    harness.directory.close()
+    harness.wait(S)
+    harness.directory = harness.start()
     for name in ("first", "second", "third"):
-        bed.register(name)
-    bed.wait(SETTLE_NS + S)
-    (full,) = bed.lists(bed.connect(Watch("sched", since=before)))
+        harness.register(name)
+    harness.wait(SETTLE_NS + S)
+    (full,) = harness.lists(harness.connect(Watch("sched", since=before)))
     assert full.kind == "full" and names(full) == {"first", "second", "third"}
