--- a/ladderhub/cli/common.py
+++ b/ladderhub/cli/common.py
@@ -82,9 +82,9 @@
 
 def address_option(context: click.Context, option: click.Parameter, text: str) -> tuple[str, int]:
     """Reads an option that is HOST:PORT."""
-    from ladderhub.server.settings import SettingsError, address_of
+    from ladderhub.server.settings import SettingsError, parse_setting_address
 
     try:
-        return address_of(text, str(option.name))
+        return parse_setting_address(text, str(option.name))
     except SettingsError as fault:
         raise click.BadParameter(str(fault)) from None
--- a/ladderhub/cli/daemons.py
+++ b/ladderhub/cli/daemons.py
@@ -36,8 +36,8 @@
     log = set_up_log(settings.file.log.format, settings.file.log.level, processor)
     loop = AccountedLoop(processor)
     # The loop keeps signals until it runs, by when there is a daemon.
-    loop.on_signal(signal.SIGTERM, lambda: daemon.shut())
-    loop.on_signal(signal.SIGINT, lambda: daemon.shut())
+    loop.on_signal(signal.SIGTERM, lambda: daemon.shut_down())
+    loop.on_signal(signal.SIGINT, lambda: daemon.shut_down())
     try:
         daemon = Daemon(loop, settings, log)
         count = daemon.metrics
@@ -50,7 +50,7 @@
         daemon.start()
         if settings.http is not None:
             pages: dict[str, Page] = {
-                "/metrics": daemon.metrics.page,
+                "/metrics": daemon.metrics.render_page,
                 "/health": lambda: (503, "text/plain", b"stopping\n") if daemon.stopping
                 else (200, "text/plain", b"ok\n"),
             }  # fmt: skip
--- a/ladderhub/cli/policy.py
+++ b/ladderhub/cli/policy.py
@@ -48,16 +48,16 @@
 
 def _read_body(file: Path) -> bytes:
     """The policy in a file: that of whole settings, or the policy alone; ends the command if it is none."""
-    from ladderhub.server.settings import check, evaluate, policy_body
-    from ladderhub.server.settings.policy import read_policy
+    from ladderhub.server.settings import check, encode_policy, evaluate
+    from ladderhub.server.settings.policy import decode_policy
 
     try:
         value: Any = evaluate(file)
         if isinstance(value, dict) and "server" in value:
-            return policy_body(check(value, str(file)).file)
+            return encode_policy(check(value, str(file)).file)
         import msgspec
 
-        return policy_body(read_policy(msgspec.json.encode(value), str(file)))
+        return encode_policy(decode_policy(msgspec.json.encode(value), str(file)))
     except LadderhubError as fault:
         _fail(f"{fault} ({fault.remedy})", BAD_FILE)
 
@@ -99,10 +99,10 @@
 
 
 def _show_difference(base: Row, body: bytes) -> None:
-    from ladderhub.server.settings import policy_difference
+    from ladderhub.server.settings import diff_policies
 
     click.echo(f"made from revision {base.get('number')}:")
-    for line in policy_difference(base.get("body").encode(), body) or ["no difference"]:
+    for line in diff_policies(base.get("body").encode(), body) or ["no difference"]:
         click.echo(f"  {line}")
 
 
--- a/ladderhub/lab/day.py
+++ b/ladderhub/lab/day.py
@@ -22,7 +22,7 @@
 from ladderhub.loop import Loop
 from ladderhub.node.runners import EmulatedSettings
 from ladderhub.pbs.batch import Reply
-from ladderhub.server.settings import span_ns
+from ladderhub.server.settings import parse_duration_ns
 
 MS, S = 1_000_000, 1_000_000_000
 SCENARIOS = Path(__file__).with_name("scenarios")
@@ -83,13 +83,14 @@
     for name, queue in settings["queues"].items():
         spread, repeats = queue.get("spread"), queue.get("repeats")
         queues[name] = QueueRules(
-            queue["effect"], span_ns(queue["limit"], name),
-            span_ns(repeats["window"], name) if repeats else 0, spread["most"] if spread else 0,
+            queue["effect"], parse_duration_ns(queue["limit"], name),
+            parse_duration_ns(repeats["window"], name) if repeats else 0, spread["most"] if spread else 0,
         )  # fmt: skip
     cold = settings["nodes"]["cold"]
     return AuditRules(
-        queues, span_ns(settings["nodes"]["drain_grace"], "drain_grace"), span_ns(cold["span"], "span"),
-        span_ns(cold["window"], "window"), cold["safe_offers"],
+        queues, parse_duration_ns(settings["nodes"]["drain_grace"], "drain_grace"),
+        parse_duration_ns(cold["span"], "span"),
+        parse_duration_ns(cold["window"], "window"), cold["safe_offers"],
     )  # fmt: skip
 
 
--- a/ladderhub/lab/scale/hollow_schedulers.py
+++ b/ladderhub/lab/scale/hollow_schedulers.py
@@ -28,7 +28,7 @@
 from ladderhub.peers.revisions import RevisionExecutor
 from ladderhub.revision import Notice, Record, Revision, Revisions, RevisionSettings
 from ladderhub.revision.types import Outcome
-from ladderhub.server.settings import span_ns
+from ladderhub.server.settings import parse_duration_ns
 from ladderhub.usage.traffic import Traffic
 
 HOST = "127.0.0.1"
@@ -125,7 +125,7 @@
         self.troubles = 0
         member = MemberSettings(
             identity.name, identity.life, identity.advertise, tuple(plan.seeds), (),
-            span_ns(plan.period, "period"),
+            parse_duration_ns(plan.period, "period"),
         )  # fmt: skip
         self.view = MembershipView(member, identity.seed)
         self.transport = PeerTransport(
@@ -140,8 +140,8 @@
         plan, identity = self._plan, self._identity
         return LeaseSettings(
             name=identity.name, life=identity.life, address=identity.advertise, slots=plan.slots,
-            voters=tuple(plan.electors), lease_ns=span_ns(plan.lease, "lease"),
-            window_ns=span_ns(plan.cold_window, "cold_window"),
+            voters=tuple(plan.electors), lease_ns=parse_duration_ns(plan.lease, "lease"),
+            window_ns=parse_duration_ns(plan.cold_window, "cold_window"),
         )  # fmt: skip
 
     def start(self) -> None:
@@ -187,7 +187,7 @@
 
     def start(self) -> None:
         """Have them join one after the other, so many in a period."""
-        step_ns = span_ns(self._plan.period, "period") // STARTS_PER_PERIOD
+        step_ns = parse_duration_ns(self._plan.period, "period") // STARTS_PER_PERIOD
         for at in range(self._plan.count):
             self._loop.call_later(at * step_ns, self._start_member, at)
 
--- a/ladderhub/lab/scale/settings.py
+++ b/ladderhub/lab/scale/settings.py
@@ -10,7 +10,7 @@
 from ladderhub.lab.scale.load import ClassPlan, LoadPlan, fill_times
 from ladderhub.lab.scale.plan import Plan, Size
 from ladderhub.pbs.resources import GIB, parse_size
-from ladderhub.server.settings import span_ns
+from ladderhub.server.settings import parse_duration_ns
 
 __all__ = [
     "CLUSTER", "HollowPlan", "elector_count", "host_plans", "load_plans", "node_plans", "team_names",
@@ -58,7 +58,7 @@
     return [
         HostPlan(
             directory, nodes[at::processes], rules["admit_cores"], rules["admit_memory"],
-            rules["cold"]["pace"], span_ns(rules["cold"]["span"], "nodes.cold.span"),
+            rules["cold"]["pace"], parse_duration_ns(rules["cold"]["span"], "nodes.cold.span"),
             round(plan.load.warm_ms * MS), plan.load.cold_times, rules["answers"],
         )
         for at in range(processes)
--- a/ladderhub/server/__init__.py
+++ b/ladderhub/server/__init__.py
@@ -9,7 +9,7 @@
     jobs, board, metrics, settings/    state, the queue of events, counters, checked settings
     usagemetrics                       what the process spends, on the page of metrics
     offer, nodelinks, runs, nodelist   one offer's steps, connections to nodes, what is out, the directory
-    site                               what all rooms share, and `Part`: what lives as long as the daemon
+    context                               what all rooms share, and `Part`: what lives as long as the daemon
     placing, words, owning             carry out the two decision modules; what nodes say of runs
     peers                              the other schedulers, where the settings name peers
     revisions                          the configuration as revisions, where some of the peers vote
--- a/ladderhub/server/door.py
+++ b/ladderhub/server/clientlistener.py
@@ -1,7 +1,7 @@
 """The clients' door: batch connections of people and nodes, and which room serves which request.
 
-`ClientDoor.serves` holds the requests that are served; rooms join it.  Bytes that are no protocol get one
-error reply and a closed connection.
+`ClientListener.handlers` holds the requests that are served; rooms join it.  Bytes that are no protocol get
+one error reply and a closed connection.
 """
 
 from __future__ import annotations
@@ -14,45 +14,49 @@
 from ladderhub.pbs import names as n
 from ladderhub.pbs.batch import Reply, Request, refusal
 from ladderhub.pbs.connection import Exchange, ServerConnection
-from ladderhub.server.site import Site
+from ladderhub.server.context import DaemonContext
 from ladderhub.usage.accounted import CountedStream
 from ladderhub.usage.processor import Cause
 from ladderhub.usage.traffic import CLIENT, NODE, TrafficCount
 
-Answer = Callable[[Reply | Iterator[bytes]], None]
-Serve = Callable[[ServerConnection, Request, Answer], None]  # calls the answer exactly once, now or later
+ReplyCallback = Callable[[Reply | Iterator[bytes]], None]
+RequestHandler = Callable[
+    [ServerConnection, Request, ReplyCallback], None
+]  # calls the answer exactly once, now or later
 PENDING_MOST = 1000
 OUT_MOST = 50  # replies that wait to leave, above which no further request is read
 
 
-class ClientDoor:
+class ClientListener:
     """The part of the daemon that holds all client connections."""
 
-    def __init__(self, site: Site) -> None:
-        self.site = site
+    def __init__(self, context: DaemonContext) -> None:
+        self.context = context
         self.clients: set[_Client] = set()
-        self.serves: dict[int, Serve] = {n.CONNECT: _connect}
+        self.handlers: dict[int, RequestHandler] = {n.CONNECT: _connect}
         self.listener: Listener | None = None
-        site.metrics.gauge("connections", "Clients connected", lambda: len(self.clients))
+        context.metrics.add_gauge("connections", "Clients connected", lambda: len(self.clients))
 
-    def join(self, serves: dict[int, Serve]) -> None:
+    def register(self, handlers: dict[int, RequestHandler]) -> None:
         """A room serves these requests; ValueError where another one does already."""
-        for kind in serves:
-            if kind in self.serves:
+        for kind in handlers:
+            if kind in self.handlers:
                 raise ValueError(f"{n.REQUESTS[kind]} is served already")
-        self.serves |= serves
+        self.handlers |= handlers
 
     # --- as a part ------------------------------------------------------------------------------------------
 
     def start(self) -> None:
-        with self.site.processor.section(Cause.JOBS):
-            self.listener = Listener(self.site.loop, self.site.settings.listen, self.accept)
-        self.site.advertise = self.site.settings.file.advertise or "{}:{}".format(*self.listener.address)
+        with self.context.processor.section(Cause.JOBS):
+            self.listener = Listener(self.context.loop, self.context.settings.listen, self.accept)
+        self.context.advertise = self.context.settings.file.advertise or "{}:{}".format(
+            *self.listener.address
+        )
 
     def stop(self, now: bool) -> None:
         return
 
-    def owes(self) -> int:
+    def count_unsettled(self) -> int:
         return 0
 
     def leave(self) -> None:
@@ -65,28 +69,28 @@
             self.listener.close()
 
     def accept(self, sock: socket.socket) -> None:
-        if len(self.clients) >= self.site.settings.file.most_connections:
-            self.site.metrics.rejected += 1
+        if len(self.clients) >= self.context.settings.file.most_connections:
+            self.context.metrics.rejected += 1
             sock.close()
             return
         self.clients.add(_Client(self, sock))
 
 
-def _connect(connection: ServerConnection, request: Request, answer: Answer) -> None:
+def _connect(connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
     answer(Reply())
 
 
 class _Client:
     """One connection."""
 
-    def __init__(self, door: ClientDoor, sock: socket.socket) -> None:
+    def __init__(self, door: ClientListener, sock: socket.socket) -> None:
         self._door = door
         self.connection = ServerConnection()
         self._out: deque[bytes | Iterator[bytes]] = deque()
         self._pumping = self._last = False
         # Nodes report over the same door: the first request tells which of the two this connection is.
         self._count: TrafficCount | None = None
-        self.stream = CountedStream(door.site.loop, sock, self, door.site.traffic.of(CLIENT))
+        self.stream = CountedStream(door.context.loop, sock, self, door.context.traffic.of(CLIENT))
         self.stream.on_drained = self._pump
 
     def on_data(self, stream: Stream, data: bytes) -> None:
@@ -95,7 +99,7 @@
         for exchange in exchanges:
             self._serve(exchange)
         if self.connection.trouble is not None:
-            self._door.site.metrics.rejected += 1
+            self._door.context.metrics.rejected += 1
             self._leave(self.connection.ready())
         elif self.connection.waiting() > PENDING_MOST:
             stream.abort(BufferError("too many requests without an answer"))
@@ -106,7 +110,7 @@
     def _count_requests(self, exchanges: list[Exchange]) -> None:
         if self._count is None and exchanges:
             of_node = exchanges[0].request.user.startswith(n.NODE_USER)
-            self._count = self.stream.count = self._door.site.traffic.of(NODE if of_node else CLIENT)
+            self._count = self.stream.count = self._door.context.traffic.of(NODE if of_node else CLIENT)
         self.stream.count.messages_in += len(exchanges)
 
     def _serve(self, exchange: Exchange) -> None:
@@ -114,7 +118,7 @@
         if request.type == n.DISCONNECT:
             self._leave(connection.disconnect(exchange))
             return
-        serve = self._door.serves.get(request.type)
+        serve = self._door.handlers.get(request.type)
         if serve is None or not connection.may(request):
             words = n.REQUESTS.get(request.type, str(request.type))
             code = n.UNKNOWN_REQUEST if serve is None else n.PROTOCOL_ERROR
@@ -126,7 +130,7 @@
         if not isinstance(reply, Reply) or reply.code == 0:
             self.connection.granted(exchange.request)
         else:
-            self._door.site.metrics.rejected += 1
+            self._door.context.metrics.rejected += 1
         self._leave(self.connection.answer(exchange, reply))
 
     def _leave(self, ready: list[Exchange]) -> None:
@@ -157,7 +161,7 @@
             self.stream.write(piece)
             if not self._pumping:
                 self._pumping = True
-                self._door.site.loop.call_soon(self._pump_on)
+                self._door.context.loop.call_soon(self._pump_on)
             return
         if self._last and not self._out:
             self.stream.close()
--- a/ladderhub/server/daemon.py
+++ b/ladderhub/server/daemon.py
@@ -14,17 +14,17 @@
 
 from ladderhub.loop import Loop
 from ladderhub.pbs import names as n
-from ladderhub.server.door import ClientDoor
+from ladderhub.server.clientlistener import ClientListener
+from ladderhub.server.context import Component, DaemonContext
 from ladderhub.server.intake import Intake
 from ladderhub.server.jobrequests import JobRequests
 from ladderhub.server.kept_names import KeptNames, with_kept_names
 from ladderhub.server.members import Members
-from ladderhub.server.operating import Operating
+from ladderhub.server.operatorrequests import OperatorRequests
 from ladderhub.server.owning import Owning
 from ladderhub.server.placing import Placing
 from ladderhub.server.services import Services
-from ladderhub.server.settings import Loaded, PeerSettings
-from ladderhub.server.site import Part, Site
+from ladderhub.server.settings import LoadedSettings, PeerSettings
 from ladderhub.server.status import Status
 from ladderhub.server.submitting import Submitting
 from ladderhub.server.words import Words
@@ -36,89 +36,97 @@
 
 
 class Daemon:
-    """One scheduler.  `start` opens the doors; `shut` settles what was taken and then calls `on_end`."""
+    """One scheduler.  `start` opens the doors; `shut_down` settles what was taken and then calls `on_end`."""
 
-    def __init__(self, loop: Loop, settings: Loaded, log: Any = None) -> None:
+    def __init__(self, loop: Loop, settings: LoadedSettings, log: Any = None) -> None:
         self.loop = loop
         self.log = log or structlog.get_logger()
-        self.site = site = Site(loop, with_kept_names(settings, Path(settings.file.spool)), self.log)
-        self.jobs, self.metrics, self.owner, self.module = site.jobs, site.metrics, site.owner, site.module
-        placing = Placing(site)
-        words = Words(site, placing)
-        owning = Owning(site, placing, words)
-        site.join(placing, owning)
-        intake = Intake(site)
-        self.members = Members(site, words, intake)
+        self.context = context = DaemonContext(
+            loop, with_kept_names(settings, Path(settings.file.spool)), self.log
+        )
+        self.jobs, self.metrics, self.owner, self.module = (
+            context.jobs,
+            context.metrics,
+            context.owner,
+            context.module,
+        )
+        placing = Placing(context)
+        words = Words(context, placing)
+        owning = Owning(context, placing, words)
+        context.register_executors(placing, owning)
+        intake = Intake(context)
+        self.members = Members(context, words, intake)
         self.nodes = self.members.list
-        self.services = Services(site, intake, self.members)
-        KeptNames(site, self.services.queues, self.members.kinds)
-        self.door = ClientDoor(site)
-        operating = Operating(site, self.members, self.shut)
-        operating.join(n.OBJ_SERVICE, self.services.serve)
+        self.services = Services(context, intake, self.members)
+        KeptNames(context, self.services.queues, self.members.kinds)
+        self.client_listener = ClientListener(context)
+        operating = OperatorRequests(context, self.members, self.shut_down)
+        operating.register(n.OBJ_SERVICE, self.services.serve)
         for room in (
-            Submitting(site, intake), JobRequests(site, intake, words), Status(site, self.members), operating,
+            Submitting(context, intake), JobRequests(context, intake, words),
+            Status(context, self.members), operating,
         ):  # fmt: skip
-            self.door.join(room.serves())
+            self.client_listener.register(room.get_handlers())
         # In the order of their start; the door opens first, since nodes are told its address, and services
         # are known before nodes say what they run.
-        self.parts: list[Part] = [self.door, self.services, self.members, owning]
+        self.components: list[Component] = [self.client_listener, self.services, self.members, owning]
         if settings.peers is not None:
             self._add_peers(settings.peers, operating)
         self.on_end: Callable[[], None] | None = None
 
-    def _add_peers(self, settings: PeerSettings, operating: Operating) -> None:
+    def _add_peers(self, settings: PeerSettings, operating: OperatorRequests) -> None:
         """What is loaded only where there are peers, and only where some of them are voters."""
         from ladderhub.server.peers import PeerService
 
-        peers = PeerService(self.site, settings)
-        self.parts.append(peers)
+        peers = PeerService(self.context, settings)
+        self.components.append(peers)
         if settings.voters:
             from ladderhub.server.policyrequests import PolicyRequests
             from ladderhub.server.revisions import RevisionService
 
-            revisions = RevisionService(self.site, peers)
-            self.parts.append(revisions)
-            operating.join(n.OBJ_POLICY, PolicyRequests(self.site, revisions).serve)
+            revisions = RevisionService(self.context, peers)
+            self.components.append(revisions)
+            operating.register(n.OBJ_POLICY, PolicyRequests(self.context, revisions).serve)
 
     @property
     def stopping(self) -> bool:
-        return self.site.stopping
+        return self.context.stopping
 
     def start(self) -> None:
         """Open the door and follow the directory; OSError where the address can't be had."""
-        for part in self.parts:
+        for part in self.components:
             part.start()
         self.loop.call_later(SWEEP_NS, self._sweep)
-        self.log.info("ready", server=self.site.name, address=self.site.advertise)
+        self.log.info("ready", server=self.context.name, address=self.context.advertise)
 
     def _sweep(self) -> None:
         self.jobs.sweep(self.loop.now_ns())
         self.loop.call_later(SWEEP_NS, self._sweep)
 
-    def owes(self) -> int:
+    def count_unsettled(self) -> int:
         """How much of what was taken is not settled."""
-        return sum(part.owes() for part in self.parts)
+        return sum(part.count_unsettled() for part in self.components)
 
-    def shut(self) -> None:
+    def shut_down(self) -> None:
         """Settle every job that was taken, within `stop_within`; then end.  A second call hastens."""
-        if self.site.stopping:
+        if self.context.stopping:
             self._stop(now=True)
             self._end()
             return
-        self.site.stopping = True
-        self.log.info("stopping", owed=self.owes())
+        self.context.stopping = True
+        self.log.info("stopping", owed=self.count_unsettled())
         self._stop(now=False)
-        self._look_settled(self.loop.now_ns() + self.site.settings.stop_within_ns)
+        self._look_settled(self.loop.now_ns() + self.context.settings.stop_within_ns)
 
     def _stop(self, now: bool) -> None:
-        for part in self.parts:
+        for part in self.components:
             part.stop(now)
 
     def _look_settled(self, until_ns: int) -> None:
-        if self.owes() and self.loop.now_ns() < until_ns:
+        if self.count_unsettled() and self.loop.now_ns() < until_ns:
             self.loop.call_later(SETTLED_LOOK_NS, self._look_settled, until_ns)
             return
-        if self.owes():
+        if self.count_unsettled():
             self._stop(now=True)
         self._end()
 
@@ -126,8 +134,8 @@
         if self.on_end is None:
             return
         done, self.on_end = self.on_end, None
-        self.log.info("stopped", unsettled=self.owes())
-        self.door.leave()
+        self.log.info("stopped", unsettled=self.count_unsettled())
+        self.client_listener.leave()
         self.loop.call_later(LEAVE_NS, self._close, done)
 
     def _close(self, done: Callable[[], None]) -> None:
@@ -136,7 +144,7 @@
 
     def close(self) -> None:
         """Let go of every socket at once, without a word."""
-        for part in self.parts:
+        for part in self.components:
             part.close()
-        self.site.links.close()
-        self.site.lock.close()
+        self.context.links.close()
+        self.context.lock.close()
--- a/ladderhub/server/intake.py
+++ b/ladderhub/server/intake.py
@@ -7,8 +7,8 @@
 from ladderhub.pbs.attributes import unserved
 from ladderhub.pbs.batch import Attr, Reply, refusal
 from ladderhub.pbs.resources import GIB, wanted
+from ladderhub.server.context import DaemonContext
 from ladderhub.server.jobs import JobNumbers, JobRecord
-from ladderhub.server.site import Site
 
 S = 1_000_000_000
 
@@ -16,9 +16,9 @@
 class Intake:
     """Reads, checks and takes jobs; `numbers` gives their identifiers."""
 
-    def __init__(self, site: Site) -> None:
-        self._site = site
-        self.numbers = JobNumbers(site.folder)
+    def __init__(self, context: DaemonContext) -> None:
+        self._context = context
+        self.numbers = JobNumbers(context.folder)
 
     def describe(self, record: JobRecord, attrs: list[Attr]) -> None:
         """Read a job's attributes into its record; `ResourceError` where they can't be read."""
@@ -32,18 +32,18 @@
         record.service = get("Resource_List.service") or get("service") or record.name
         record.rerunnable = get("Rerunable", "y").lower() in ("y", "true")
         resources = {attr.resource: attr.value for attr in attrs if attr.name == "Resource_List"}
-        queue = self._site.settings.queue_at[record.queue]
+        queue = self._context.settings.queues_by_index[record.queue]
         found = wanted(resources)
         record.walltime_s, record.mpiprocs, record.ompthreads = (
             found.walltime_s, found.mpiprocs, found.ompthreads,
         )  # fmt: skip
         record.cores = queue.default_cpus if found.cores is None else found.cores
-        memory = self._site.settings.default_memory[record.queue]
+        memory = self._context.settings.default_memory[record.queue]
         record.memory = found.memory / GIB if found.memory else memory
 
     def unserved(self, attrs: list[Attr]) -> Reply | None:
         """The refusal of the first attribute that nothing here would act on."""
-        now_s = self._site.loop.now_ns() // S
+        now_s = self._context.loop.now_ns() // S
         for attr in attrs:
             refused = unserved(attr, now_s)
             if refused is not None:
@@ -52,7 +52,7 @@
 
     def check(self, record: JobRecord, taken: bool = False) -> str:
         """Why the job could never be placed; "" where it could.  One that was taken keeps its account."""
-        module, names = self._site.settings.module, self._site.settings.kinds
+        module, names = self._context.settings.module, self._context.settings.kinds
         klass = module.classes[record.queue]
         kinds = [
             kind for at, kind in enumerate(module.kinds)
@@ -64,7 +64,7 @@
             for kind in kinds
         ):
             return f"no kind of node here holds {record.cores:g} cores and {record.memory:g} GiB"
-        tenants, account = self._site.settings.tenants, record.account
+        tenants, account = self._context.settings.tenants, record.account
         if not tenants.current or not account or tenants.is_open(account):
             return ""
         if not tenants.is_known(account):
@@ -73,18 +73,18 @@
 
     def removed(self) -> str:
         """What is said of a queue or an account that the policy has no more."""
-        return f"takes no new jobs, the policy (revision {self._site.revision.number}) has it no more"
+        return f"takes no new jobs, the policy (revision {self._context.revision.number}) has it no more"
 
     def take(
         self, record: JobRecord, held: bool, lasting: bool = False, effect: Effect | None = None
     ) -> None:
         """The job was committed.  `effect`: where it is not what its queue says."""
-        site = self._site
-        site.metrics.taken += 1
-        record.revision = site.revision.number
-        site.log.info(
-            "taken", job=record.id, queue=site.settings.queues.all[record.queue], owner=record.owner,
+        context = self._context
+        context.metrics.taken += 1
+        record.revision = context.revision.number
+        context.log.info(
+            "taken", job=record.id, queue=context.settings.queues.all[record.queue], owner=record.owner,
             revision=record.revision,
         )  # fmt: skip
         event = own.Submitted(record.number, record.queue, record.rerunnable, held, lasting, effect)
-        site.tell_owner(event)
+        context.tell_owner(event)
--- a/ladderhub/server/jobrequests.py
+++ b/ladderhub/server/jobrequests.py
@@ -11,10 +11,10 @@
 from ladderhub.pbs.batch import Attr, Reply, Request, refusal
 from ladderhub.pbs.connection import ServerConnection
 from ladderhub.pbs.resources import ResourceError
-from ladderhub.server.door import Answer, Serve
+from ladderhub.server.clientlistener import ReplyCallback, RequestHandler
+from ladderhub.server.context import DaemonContext
 from ladderhub.server.intake import Intake
 from ladderhub.server.jobs import JobRecord
-from ladderhub.server.site import Site
 from ladderhub.server.words import Words
 
 DELETE_WAIT_NS = 3_000_000_000
@@ -29,12 +29,12 @@
 class JobRequests:
     """Serves what people ask of one job, and what nodes tell of one run."""
 
-    def __init__(self, site: Site, intake: Intake, words: Words) -> None:
-        self._site, self._intake, self._words = site, intake, words
+    def __init__(self, context: DaemonContext, intake: Intake, words: Words) -> None:
+        self._context, self._intake, self._words = context, intake, words
         self._deletes: dict[int, list[Callable[[], None]]] = {}
-        site.on_finished.append(self._finished)
+        context.on_finished.append(self._finished)
 
-    def serves(self) -> dict[int, Serve]:
+    def get_handlers(self) -> dict[int, RequestHandler]:
         return {
             n.DELETE_JOB: self.delete, n.HOLD_JOB: self.hold, n.RELEASE_JOB: self.release,
             n.MODIFY_JOB: self.modify, n.SIGNAL_JOB: self.forward, n.MESSAGE_JOB: self.forward,
@@ -48,17 +48,17 @@
 
     def _machine_of(self, record: JobRecord) -> str:
         """The node where the job runs, "" where it does not."""
-        return next(iter(self._site.runs.placed_at(record.number)), "")
+        return next(iter(self._context.runs.placed_at(record.number)), "")
 
     def live(self, request: Request) -> JobRecord | Reply:
-        record = self._site.jobs.find(request.job)
+        record = self._context.jobs.find(request.job)
         if record is None:
             return refusal(n.UNKNOWN_JOB, f"Unknown Job Id {request.job}")
         if record.state == "F":
             return refusal(n.BAD_STATE, f"Job has finished {record.id}: {record.comment}")
         return record
 
-    def delete(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
+    def delete(self, connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
         """Answered once it is known what became of the job, or after a while with what is known by then."""
         record = self.live(request)
         if isinstance(record, Reply):
@@ -88,11 +88,11 @@
                 text = f"{found.id}: no word yet from {found.run_machine or 'its node'}; it will be deleted"
                 answer(Reply(0, n.R_TEXT, text=text))
 
-        timer: Timer = self._site.loop.call_later(DELETE_WAIT_NS, late)
+        timer: Timer = self._context.loop.call_later(DELETE_WAIT_NS, late)
         self._deletes.setdefault(record.number, []).append(over)
-        self._site.tell_owner(own.Cancelled(record.number))
+        self._context.tell_owner(own.Cancelled(record.number))
 
-    def hold(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
+    def hold(self, connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
         record = self.live(request)
         if isinstance(record, Reply):
             answer(record)
@@ -100,10 +100,10 @@
             answer(refusal(n.BAD_STATE, f"{record.id} runs; only a job that waits can be held"))
         else:
             self._set(record, Attr("Hold_Types", request.get("Hold_Types") or "u"))
-            self._site.tell_owner(own.Hold(record.number))
+            self._context.tell_owner(own.Hold(record.number))
             answer(Reply())
 
-    def release(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
+    def release(self, connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
         record = self.live(request)
         if isinstance(record, Reply):
             answer(record)
@@ -113,13 +113,13 @@
         left = "".join(letter for letter in held if letter not in kinds and letter in _HELD)
         self._set(record, Attr("Hold_Types", left or "n"))
         if not left:
-            self._site.tell_owner(own.Release(record.number))
+            self._context.tell_owner(own.Release(record.number))
         answer(Reply())
 
     def _set(self, record: JobRecord, attr: Attr) -> None:
         record.values[attr.key()] = Attr(attr.name, attr.value, attr.resource)
 
-    def modify(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
+    def modify(self, connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
         if request.user.startswith(n.NODE_USER):
             self._words.update(request)
             answer(Reply())
@@ -141,7 +141,7 @@
             answer(refusal(n.MODIFY_RUNNING, f"{record.id} is being placed or runs"))
             return
         if record.adopted and request.get("Rerunable").lower() in ("y", "true"):
-            text = f"its script went with an earlier life of {self._site.name}; it can't be run again"
+            text = f"its script went with an earlier life of {self._context.name}; it can't be run again"
             answer(refusal(n.BAD_ATTRIBUTE_VALUE, f"{record.id}: {text}"))
             return
         before = dict(record.values)
@@ -157,10 +157,10 @@
             answer(refusal(n.BAD_RESOURCE_VALUE, never))
             return
         record.rerunnable = record.rerunnable and not record.adopted
-        self._site.tell_owner(own.Altered(record.number, record.rerunnable))
+        self._context.tell_owner(own.Altered(record.number, record.rerunnable))
         answer(Reply())
 
-    def forward(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
+    def forward(self, connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
         """Signal Job and Message Job: the node that runs the job does it."""
         record = self.live(request)
         if isinstance(record, Reply):
@@ -176,15 +176,15 @@
                 answer(refusal(n.BAD_STATE, f"{record.id} does not run"))
             return
         request.job = record.id
-        self._site.links.ask(
+        self._context.links.ask(
             node, request, FORWARD_NS,
             lambda reply: answer(reply or refusal(n.NODE_DOWN, f"{node} does not answer")),
         )  # fmt: skip
 
-    def locate(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
-        record = self._site.jobs.find(request.job)
-        answer(Reply(0, n.R_LOCATE, job=self._site.name) if record else refusal(n.UNKNOWN_JOB))
+    def locate(self, connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
+        record = self._context.jobs.find(request.job)
+        answer(Reply(0, n.R_LOCATE, job=self._context.name) if record else refusal(n.UNKNOWN_JOB))
 
-    def obituary(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
+    def obituary(self, connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
         self._words.obituary(request)
         answer(Reply())
--- a/ladderhub/server/jobs.py
+++ b/ladderhub/server/jobs.py
@@ -7,7 +7,7 @@
 
 from ladderhub.pbs import names as n
 from ladderhub.pbs.batch import Attr, Row
-from ladderhub.server.lasting import SpoolError, write_lasting
+from ladderhub.server.spool import SpoolError, write_durably
 
 BLOCK = 1000
 PLAIN = frozenset((
@@ -41,7 +41,7 @@
 
     def _reserve(self) -> None:
         upto = self._reserved + BLOCK
-        write_lasting(self._path, str(upto).encode())
+        write_durably(self._path, str(upto).encode())
         self._reserved = upto
 
 
--- a/ladderhub/server/kept_names.py
+++ b/ladderhub/server/kept_names.py
@@ -13,10 +13,10 @@
 
 import msgspec
 
-from ladderhub.server.lasting import SpoolError, write_lasting
-from ladderhub.server.settings import Loaded, NameTable, SettingsError
+from ladderhub.server.context import DaemonContext
+from ladderhub.server.settings import LoadedSettings, NameTable, SettingsError
 from ladderhub.server.settings.schema import Kind, Queue
-from ladderhub.server.site import Site
+from ladderhub.server.spool import SpoolError, write_durably
 
 FILE_NAME = "kept-names.json"
 
@@ -28,7 +28,7 @@
     kinds: dict[str, Kind] = {}
 
 
-def with_kept_names(settings: Loaded, folder: Path) -> Loaded:
+def with_kept_names(settings: LoadedSettings, folder: Path) -> LoadedSettings:
     """The settings with the names that an earlier life kept, closed until a policy has them; `SpoolError`
     where the file can't be used."""
     path = folder / FILE_NAME
@@ -47,34 +47,40 @@
     `service_queues` and `node_kinds` tell in which queues services are and which kinds nodes have."""
 
     def __init__(
-        self, site: Site, service_queues: Callable[[], set[str]], node_kinds: Callable[[], set[str]]
+        self,
+        context: DaemonContext,
+        service_queues: Callable[[], set[str]],
+        node_kinds: Callable[[], set[str]],
     ) -> None:
-        self._site, self._service_queues, self._node_kinds = site, service_queues, node_kinds
-        self._own_queues, self._own_kinds = set(site.settings.file.queues), set(site.settings.file.kinds)
+        self._context, self._service_queues, self._node_kinds = context, service_queues, node_kinds
+        self._own_queues, self._own_kinds = (
+            set(context.settings.file.queues),
+            set(context.settings.file.kinds),
+        )
         self._written: _Kept | None = None
-        site.on_settings.append(self._write)
+        context.on_settings_changed.append(self._write)
 
     def _write(self) -> None:
         kept = self._kept()
         if kept == self._written:
             return
         try:
-            write_lasting(self._site.folder / FILE_NAME, msgspec.json.encode(kept))
+            write_durably(self._context.folder / FILE_NAME, msgspec.json.encode(kept))
             self._written = kept
         except OSError:
-            self._site.log.error("names not kept", exc_info=True)  # the next change tries again
+            self._context.log.error("names not kept", exc_info=True)  # the next change tries again
 
     def _kept(self) -> _Kept:
-        settings = self._site.settings
+        settings = self._context.settings
         used = self._service_queues()
-        used |= {settings.queues.all[job.queue] for job in self._site.jobs.live.values()}
+        used |= {settings.queues.all[job.queue] for job in self._context.jobs.live.values()}
         queues = {
-            name: settings.queue_at[settings.queues.index(name)]
+            name: settings.queues_by_index[settings.queues.index(name)]
             for name in _needed(settings.queues, used, self._own_queues)
         }
         used = self._node_kinds() | {queue.kind for queue in queues.values()}
         kinds = {
-            name: settings.kind_at[settings.kinds.index(name)]
+            name: settings.kinds_by_index[settings.kinds.index(name)]
             for name in _needed(settings.kinds, used, self._own_kinds)
         }
         return _Kept(queues, kinds)
--- a/ladderhub/server/members.py
+++ b/ladderhub/server/members.py
@@ -10,9 +10,9 @@
 from ladderhub.owner import types as own
 from ladderhub.pbs import names as n
 from ladderhub.pbs.batch import Attr, Reply, Request
+from ladderhub.server.context import DaemonContext
 from ladderhub.server.intake import Intake
 from ladderhub.server.nodelist import NodeList
-from ladderhub.server.site import Site
 from ladderhub.server.words import QUERY_NS, Words, int_of
 from ladderhub.usage.processor import Cause
 from ladderhub.usage.traffic import DIRECTORY
@@ -35,11 +35,13 @@
 class Members:
     """The part of the daemon that follows the directory.  `list` has the entries as last told."""
 
-    def __init__(self, site: Site, words: Words, intake: Intake) -> None:
-        self._site, self._words, self._intake = site, words, intake
-        count = site.traffic.of(DIRECTORY)
-        self.list = NodeList(site.loop, site.settings.directory, site.name, site.folder, self._on_list, count)
-        site.metrics.gauge("nodes", "Nodes listed", lambda: len(self.list.entries))
+    def __init__(self, context: DaemonContext, words: Words, intake: Intake) -> None:
+        self._context, self._words, self._intake = context, words, intake
+        count = context.traffic.of(DIRECTORY)
+        self.list = NodeList(
+            context.loop, context.settings.directory, context.name, context.folder, self._on_list, count
+        )
+        context.metrics.add_gauge("nodes", "Nodes listed", lambda: len(self.list.entries))
         self.offline: set[str] = set()
         self._heard: dict[str, int] = {}  # node -> start time at which it said what it runs
         self._gone: set[str] = set()
@@ -47,21 +49,21 @@
         self._ready: dict[str, int] = {}  # node -> start time as last listed
         self._asked: dict[str, int] = {}  # node -> start time at which it was asked what it runs
         self._cells: dict[str, int] = {}
-        zone = site.settings.file.zone
+        zone = context.settings.file.zone
         self._zones: dict[str, int] = {zone: 0} if zone else {}
-        self._open_kinds = set(site.settings.kinds.current)
-        site.on_settings.append(self._kinds_changed)
+        self._open_kinds = set(context.settings.kinds.current)
+        context.on_settings_changed.append(self._kinds_changed)
 
     # --- as a part ------------------------------------------------------------------------------------------
 
     def start(self) -> None:
-        with self._site.processor.section(Cause.LISTS):
+        with self._context.processor.section(Cause.LISTS):
             self.list.start()
 
     def stop(self, now: bool) -> None:
         return
 
-    def owes(self) -> int:
+    def count_unsettled(self) -> int:
         return 0
 
     def close(self) -> None:
@@ -77,7 +79,7 @@
             return None
         return {
             name for name, entry in self.list.entries.items()
-            if self._site.settings.kinds.is_known(entry.kind) and self._heard.get(name) != entry.ready_ns
+            if self._context.settings.kinds.is_known(entry.kind) and self._heard.get(name) != entry.ready_ns
         }  # fmt: skip
 
     # --- lists ----------------------------------------------------------------------------------------------
@@ -87,30 +89,30 @@
         known: list[api.MachineEntry] = []
         anew: list[str] = []
         for entry in entries:
-            if not self._site.settings.kinds.is_known(entry.kind):
-                self._site.log.error("unknown kind of node", node=entry.name, kind=entry.kind)
+            if not self._context.settings.kinds.is_known(entry.kind):
+                self._context.log.error("unknown kind of node", node=entry.name, kind=entry.kind)
                 continue
-            self._site.links.place(entry.name, parse_address(entry.address))
+            self._context.links.place(entry.name, parse_address(entry.address))
             if 0 < self._ready.get(entry.name, 0) < entry.ready_ns:
                 anew.append(entry.name)
             self._ready[entry.name] = entry.ready_ns
             known.append(self._machine(entry))
-        self._site.tell_module(api.MachineList(kind, version, tuple(known)))
+        self._context.tell_module(api.MachineList(kind, version, tuple(known)))
         self._tell_nodes(kind, entries, anew)
         for name in anew:
-            self._site.tell_owner(own.MachineRestarted(name))
+            self._context.tell_owner(own.MachineRestarted(name))
         gone = {entry.name for entry in entries if entry.stage == "gone"}
         if kind is api.ListKind.FULL:
             gone |= set(self._ready) - {entry.name for entry in entries}
         for name in sorted(gone):
-            self._site.tell_owner(own.MachineGone(name))
+            self._context.tell_owner(own.MachineGone(name))
         for entry in entries:
-            if entry.stage != "gone" and self._site.settings.kinds.is_known(entry.kind):
+            if entry.stage != "gone" and self._context.settings.kinds.is_known(entry.kind):
                 self._ask_node(entry.name)
 
     def _kinds_changed(self) -> None:
         """Nodes of a kind that is new are known from now on; those of one that is gone get nothing more."""
-        kinds = set(self._site.settings.kinds.current)
+        kinds = set(self._context.settings.kinds.current)
         changed = kinds ^ self._open_kinds
         self._open_kinds = kinds
         entries = [entry for entry in self.list.entries.values() if entry.kind in changed]
@@ -127,12 +129,12 @@
         self._gone = (self._gone | gone) - listed
         for names, here in ((fresh | set(anew), False), (back, True)):
             for name in sorted(names):
-                for told in self._site.on_node:
+                for told in self._context.on_node_changed:
                     told(name, here)
 
     def _machine(self, entry: Entry) -> api.MachineEntry:
         stage = _STAGES[entry.stage]
-        kinds = self._site.settings.kinds
+        kinds = self._context.settings.kinds
         if stage is api.Stage.SERVING and (entry.name in self.offline or not kinds.is_open(entry.kind)):
             stage = api.Stage.DRAINING
         return api.MachineEntry(
@@ -151,19 +153,19 @@
         (self.offline.add if offline else self.offline.discard)(name)
         entry = self.list.entries[name]
         changed = (self._machine(entry),)
-        self._site.tell_module(api.MachineList(api.ListKind.CHANGES, self.list.version, changed))
+        self._context.tell_module(api.MachineList(api.ListKind.CHANGES, self.list.version, changed))
         state = [Attr("state", "offline" if offline else "free")]
         request = Request(
             n.MANAGER,
-            f"scheduler@{self._site.name}",
+            f"scheduler@{self._context.name}",
             attrs=state,
             command=n.CMD_SET,
             object_type=n.OBJ_NODE,
             name=name,
         )
-        mine = self._site.name
+        mine = self._context.name
         text = f"{name} did not answer; it gets nothing more from {mine}, other schedulers are not told"
-        self._site.links.ask(
+        self._context.links.ask(
             name, request, QUERY_NS,
             lambda reply: done(reply if reply is not None else Reply(n.NODE_DOWN, n.R_TEXT, text=text)),
         )  # fmt: skip
@@ -173,30 +175,30 @@
         if self._asked.get(name) == self._ready[name]:
             return
         self._asked[name] = self._ready[name]
-        request = Request(n.STATUS_JOB, f"scheduler@{self._site.name}")
-        self._site.links.ask(name, request, QUERY_NS, lambda reply: self._adopt(name, reply))
+        request = Request(n.STATUS_JOB, f"scheduler@{self._context.name}")
+        self._context.links.ask(name, request, QUERY_NS, lambda reply: self._adopt(name, reply))
 
     def _adopt(self, name: str, reply: Reply | None) -> None:
         if reply is None:
             self._asked.pop(name, None)
             if name in self.list.entries:
-                self._site.loop.call_later(ADOPT_RETRY_NS, self._ask_node, name)
+                self._context.loop.call_later(ADOPT_RETRY_NS, self._ask_node, name)
             return
         self._heard[name] = self._asked.get(name, 0)
         for row in reply.rows:
             run = int_of(row.get("run_version"))
-            if row.get("server") != self._site.name or row.name in self._site.jobs.by_id:
+            if row.get("server") != self._context.name or row.name in self._context.jobs.by_id:
                 continue
-            queues = self._site.settings.queues
+            queues = self._context.settings.queues
             if self._words.ended_before(row.name, run) or not queues.is_known(row.get("queue")):
                 continue
             queue = queues.index(row.get("queue"))
-            record = self._site.jobs.add(row.name, queue, int_of(row.get("ctime")) * S)
+            record = self._context.jobs.add(row.name, queue, int_of(row.get("ctime")) * S)
             self._intake.describe(record, [attr for attr in row.attrs if attr.name not in _OF_THE_OFFER])
-            record.service, record.answer_ns = row.get("service") or record.name, self._site.loop.now_ns()
+            record.service, record.answer_ns = row.get("service") or record.name, self._context.loop.now_ns()
             record.run, record.run_machine, record.answer = run, name, own.Answer.PLACED.value
             record.adopted, record.rerunnable = True, False  # its script went with the earlier life
-            record.start_ns = self._site.loop.now_ns()
-            record.revision = self._site.revision.number
-            self._site.log.info("adopted", job=record.id, node=name, run=run)
-            self._site.tell_owner(own.Adopted(record.number, queue, run, name, record.rerunnable))
+            record.start_ns = self._context.loop.now_ns()
+            record.revision = self._context.revision.number
+            self._context.log.info("adopted", job=record.id, node=name, run=run)
+            self._context.tell_owner(own.Adopted(record.number, queue, run, name, record.rerunnable))
--- a/ladderhub/server/metrics.py
+++ b/ladderhub/server/metrics.py
@@ -31,7 +31,7 @@
         self._registry = CollectorRegistry()
         self._registry.register(self)
 
-    def gauge(self, name: str, text: str, value: Callable[[], float]) -> None:
+    def add_gauge(self, name: str, text: str, value: Callable[[], float]) -> None:
         """A figure that is looked up each time the page is made."""
         self._gauges.append((f"ladderhub_{name}", text, value))
 
@@ -39,13 +39,13 @@
         """Metrics that a room keeps itself."""
         self._registry.register(collector)
 
-    def answered(self, answer: Answer) -> None:
+    def count_answer(self, answer: Answer) -> None:
         self._answers[answer.value] += 1
 
-    def ended(self, outcome: Outcome) -> None:
+    def count_failed_offer(self, outcome: Outcome) -> None:
         self._outcomes[outcome.name.lower()] += 1
 
-    def start(self, elapsed_ns: int) -> None:
+    def observe_start(self, elapsed_ns: int) -> None:
         ms = elapsed_ns / _MS
         self._start_sum += ms / 1000
         at = next((at for at, bound in enumerate(_BOUNDS_MS) if ms <= bound), len(_BOUNDS_MS))
@@ -77,5 +77,5 @@
         start.add_metric([], buckets, self._start_sum)
         yield start
 
-    def page(self) -> tuple[int, str, bytes]:
+    def render_page(self) -> tuple[int, str, bytes]:
         return 200, "text/plain; version=0.0.4", generate_latest(self._registry)
--- a/ladderhub/server/nodelist.py
+++ b/ladderhub/server/nodelist.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ladderhub.directory.wire import Entry, Lines, Listed, Watch, DirectoryError, encode
+from ladderhub.directory.wire import DirectoryError, Entry, Lines, Listed, Watch, encode
 from ladderhub.interface import ListKind
 from ladderhub.loop import Loop, Stream
 from ladderhub.loop.stream import Address
--- a/ladderhub/server/operating.py
+++ b/ladderhub/server/operatorrequests.py
@@ -7,35 +7,34 @@
 from ladderhub.pbs import names as n
 from ladderhub.pbs.batch import Reply, Request, refusal
 from ladderhub.pbs.connection import ServerConnection
-from ladderhub.server.door import Answer, Serve
+from ladderhub.server.clientlistener import ReplyCallback, RequestHandler
+from ladderhub.server.context import DaemonContext
 from ladderhub.server.members import Members
-from ladderhub.server.site import Site
-
 
 _ABSENT = {
     n.OBJ_POLICY: "the settings of this scheduler name no peers with electors: its file is its policy",
 }  # fmt: skip
 
 
-class Operating:
+class OperatorRequests:
     """Serves operators; `shut` begins the daemon's clean stop."""
 
-    def __init__(self, site: Site, members: Members, shut: Callable[[], None]) -> None:
-        self._site, self._members, self._shut = site, members, shut
-        self._objects: dict[int, Serve] = {n.OBJ_NODE: self.node}
+    def __init__(self, context: DaemonContext, members: Members, shut: Callable[[], None]) -> None:
+        self._context, self._members, self._shut = context, members, shut
+        self._objects: dict[int, RequestHandler] = {n.OBJ_NODE: self.node}
 
-    def join(self, object_type: int, serve: Serve) -> None:
+    def register(self, object_type: int, serve: RequestHandler) -> None:
         """A room serves Manager requests on its own kind of object."""
         self._objects[object_type] = serve
 
-    def serves(self) -> dict[int, Serve]:
+    def get_handlers(self) -> dict[int, RequestHandler]:
         return {n.MANAGER: self.manager, n.SHUTDOWN: self.shutdown}
 
-    def manager(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
+    def manager(self, connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
         serve = self._objects.get(request.object_type, self.node)
         serve(connection, request, answer)
 
-    def node(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
+    def node(self, connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
         if request.object_type in _ABSENT:
             answer(refusal(n.INVALID_REQUEST, _ABSENT[request.object_type]))
             return
@@ -51,6 +50,6 @@
             return
         self._members.set_offline(request.name, state == "offline", answer)
 
-    def shutdown(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
+    def shutdown(self, connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
         answer(Reply())
-        self._site.loop.call_soon(self._shut)
+        self._context.loop.call_soon(self._shut)
--- a/ladderhub/server/owning.py
+++ b/ladderhub/server/owning.py
@@ -5,9 +5,9 @@
 from ladderhub import interface as api
 from ladderhub.loop import Timer
 from ladderhub.owner import types as own
+from ladderhub.server.context import DaemonContext
 from ladderhub.server.jobs import JobRecord
 from ladderhub.server.placing import Placing
-from ladderhub.server.site import Site
 from ladderhub.server.words import Words
 
 _LETTERS = {"held": ("H", 20), "running": ("R", 42), "stopping": ("E", 50), "waiting": ("Q", 10)}
@@ -16,12 +16,12 @@
 class Owning:
     """Carrier of the owner's decisions, and the part of the daemon that owes answers."""
 
-    def __init__(self, site: Site, placing: Placing, words: Words) -> None:
-        self._site, self._placing, self._words = site, placing, words
+    def __init__(self, context: DaemonContext, placing: Placing, words: Words) -> None:
+        self._context, self._placing, self._words = context, placing, words
         self._wakes: dict[int, Timer] = {}
-        site.metrics.gauge("jobs_live", "Jobs not finished", lambda: len(site.jobs.live))
-        site.metrics.gauge("jobs_owed", "Jobs without an answer", site.owner.count_unanswered)
-        site.metrics.gauge("strays", "Unwanted runs not yet stopped", site.owner.count_orphans)
+        context.metrics.add_gauge("jobs_live", "Jobs not finished", lambda: len(context.jobs.live))
+        context.metrics.add_gauge("jobs_owed", "Jobs without an answer", context.owner.count_unanswered)
+        context.metrics.add_gauge("strays", "Unwanted runs not yet stopped", context.owner.count_orphans)
 
     # --- as a part ------------------------------------------------------------------------------------------
 
@@ -29,10 +29,10 @@
         return
 
     def stop(self, now: bool) -> None:
-        self._site.tell_owner(own.SchedulerStopping(now))
+        self._context.tell_owner(own.SchedulerStopping(now))
 
-    def owes(self) -> int:
-        return self._site.owner.count_unanswered()
+    def count_unsettled(self) -> int:
+        return self._context.owner.count_unanswered()
 
     def close(self) -> None:
         return
@@ -44,11 +44,11 @@
             old = self._wakes.pop(action.job, None)
             if old is not None:
                 old.cancel()
-            self._wakes[action.job] = self._site.loop.call_at(action.at_ns, self._wake, action.job)
+            self._wakes[action.job] = self._context.loop.call_at(action.at_ns, self._wake, action.job)
         elif isinstance(action, own.Query | own.Stop):
             self._words.ask(action)
         else:
-            record = self._site.jobs.live.get(action.job)
+            record = self._context.jobs.live.get(action.job)
             if record is not None:
                 self._carry_job(now, record, action)
 
@@ -58,14 +58,14 @@
                 self._placing.ask(now, record, action)
             case own.Withdraw():
                 if record.task >= 0:
-                    self._site.tell_module(api.TaskWithdrawn(record.task))
+                    self._context.tell_module(api.TaskWithdrawn(record.task))
             case own.Adopt(_, ask, run, machine):
                 self._placing.adopt(now, record, ask, run, machine)
             case own.ReportAnswer(_, answer, reason):
                 record.answer, record.answer_ns, record.comment = answer.value, now, reason
-                self._site.metrics.answered(answer)
-                record.revision = revision = self._site.revision.number
-                self._site.log.info(
+                self._context.metrics.count_answer(answer)
+                record.revision = revision = self._context.revision.number
+                self._context.log.info(
                     "answer", job=record.id, answer=answer.value, reason=reason, revision=revision
                 )
             case own.Finish(_, status, reason):
@@ -79,40 +79,40 @@
         timer = self._wakes.pop(record.number, None)
         if timer is not None:
             timer.cancel()
-        self._site.jobs.finish(record, now)
-        self._site.log.info("finished", job=record.id, status=status, reason=reason)
-        for told in self._site.on_finished:
+        self._context.jobs.finish(record, now)
+        self._context.log.info("finished", job=record.id, status=status, reason=reason)
+        for told in self._context.on_finished:
             told(record)
 
     def _wake(self, job: int) -> None:
         self._wakes.pop(job, None)
-        self._site.tell_owner(own.TimerFired(job))
+        self._context.tell_owner(own.TimerFired(job))
 
     def on_handled(self, event: own.Event) -> None:
         """State, place and reason as `qstat` gives them."""
         if isinstance(event, own.RequestsResumed):
-            for waiting in list(self._site.jobs.live.values()):
+            for waiting in list(self._context.jobs.live.values()):
                 self._show(waiting)
             return
         number = getattr(event, "job", None)
-        record = self._site.jobs.live.get(number) if number is not None else None
+        record = self._context.jobs.live.get(number) if number is not None else None
         if record is None:
             if number is not None and isinstance(event, own.MachineReplied | own.Ended | own.NeverRan):
-                for hears in self._site.on_news:
+                for hears in self._context.on_finished_job_report:
                     hears(number)
             return
         self._show(record)
 
     def _show(self, record: JobRecord) -> None:
-        state, why = self._site.owner.get_state(record.number)
+        state, why = self._context.owner.get_state(record.number)
         ran = record.state == "R"
         record.state, record.substate = _LETTERS.get(state, ("Q", 14 if state == "asking" else 16))
-        placed = self._site.runs.placed_at(record.number)
+        placed = self._context.runs.placed_at(record.number)
         record.run_machine = placed[-1] if placed else ""
         if state == "running" and not record.start_ns:
-            record.start_ns = self._site.loop.now_ns()
+            record.start_ns = self._context.loop.now_ns()
         if state != "running" or why:
             record.comment = why or record.comment
         if (record.state == "R") != ran and record.state != "E":
-            for told in self._site.on_placed if record.state == "R" else self._site.on_unplaced:
+            for told in self._context.on_placed if record.state == "R" else self._context.on_unplaced:
                 told(record)
--- a/ladderhub/server/peers.py
+++ b/ladderhub/server/peers.py
@@ -23,9 +23,9 @@
 from ladderhub.membership.types import Change, Event
 from ladderhub.pbs.batch import Attr
 from ladderhub.peers.transport import PeerTransport
-from ladderhub.server.lasting import SpoolError, write_lasting
+from ladderhub.server.context import DaemonContext
 from ladderhub.server.settings import PeerSettings
-from ladderhub.server.site import Site
+from ladderhub.server.spool import SpoolError, write_durably
 from ladderhub.usage.processor import Cause
 
 SAVE_INTERVAL_NS = 5_000_000_000
@@ -57,32 +57,32 @@
 
     def save(self, peers: list[str]) -> None:
         self.peers = peers
-        write_lasting(self._path, msgspec.json.encode(_PeerState(self.life, peers)))
+        write_durably(self._path, msgspec.json.encode(_PeerState(self.life, peers)))
 
 
 class PeerService:
     """The group of schedulers, shown in the log, by gauges and in the server's status."""
 
-    def __init__(self, site: Site, settings: PeerSettings) -> None:
-        self._site, self._settings = site, settings
-        self._state_file = PeerStateFile(site.folder)
-        self.view = MembershipView(self._member_settings(), site.settings.file.seed)
+    def __init__(self, context: DaemonContext, settings: PeerSettings) -> None:
+        self._context, self._settings = context, settings
+        self._state_file = PeerStateFile(context.folder)
+        self.view = MembershipView(self._member_settings(), context.settings.file.seed)
         self.leases: LeaseHolder | None = None
         self._tell_leases: Callable[[Event | MembershipSummary], None] | None = None
         self._transport: PeerTransport | None = None
         self._closed = False
         self._add_gauges()
-        site.status_rows.append(self.status_rows)
+        context.status_sources.append(self.status_rows)
 
     def _member_settings(self) -> MemberSettings:
         settings, state = self._settings, self._state_file
         known = tuple(state.peers)
         return MemberSettings(
-            self._site.name, state.life, settings.advertise, settings.seeds, known, settings.period_ns
+            self._context.name, state.life, settings.advertise, settings.seeds, known, settings.period_ns
         )
 
     def _add_gauges(self) -> None:
-        gauge = self._site.metrics.gauge
+        gauge = self._context.metrics.add_gauge
         gauge("members", "Schedulers in the view, this one among them", lambda: len(self.view.members()))
         gauge("members_suspected", "Of those it watches", lambda: len(self.view.get_suspected_names()))
         gauge("membership_sure", "1 while peers confirm the view", lambda: float(self.is_confirmed()))
@@ -135,62 +135,64 @@
     # --- as a part --------------------------------------------------------------------------------------
 
     def start(self) -> None:
-        self._site.processor.run(Cause.PEERS, self._start)
+        self._context.processor.run(Cause.PEERS, self._start)
 
     def _start(self) -> None:
-        site, settings = self._site, self._settings
+        context, settings = self._context, self._settings
         transport = PeerTransport(
-            site.loop,
+            context.loop,
             settings.listen,
             settings.cluster,
             self.view,
             self._log_change,
             self._log_spoilt,
-            site.traffic,
+            context.traffic,
         )
         self._transport = transport
         if settings.voters:
             self._start_leases(transport)
         life = self._state_file.life
-        site.log.info("peers", life=life, address=settings.advertise, seeds=len(settings.seeds))
-        transport.join(site.dispatcher.register(self.view, transport))
-        site.loop.call_later(SAVE_INTERVAL_NS, self._save)
+        context.log.info("peers", life=life, address=settings.advertise, seeds=len(settings.seeds))
+        transport.join(context.dispatcher.register(self.view, transport))
+        context.loop.call_later(SAVE_INTERVAL_NS, self._save)
 
     def _start_leases(self, transport: PeerTransport) -> None:
         """From here on slots are leased, and none is held before voters grant it."""
-        site = self._site
-        self.leases = LeaseHolder(self._lease_settings(), site.settings.file.seed, site.loop.now_ns())
-        site.tell_module(SeatShare((), -1))
+        context = self._context
+        self.leases = LeaseHolder(self._lease_settings(), context.settings.file.seed, context.loop.now_ns())
+        context.tell_module(SeatShare((), -1))
         transport.on_leases, transport.on_tick = self._on_leases, self._on_tick
-        self._tell_leases = site.dispatcher.register(self.leases, transport)
+        self._tell_leases = context.dispatcher.register(self.leases, transport)
         transport.tell_leases = self._tell_leases
-        site.metrics.gauge("seats_held", "Slots of the cold budget that may be used", self._usable_slots)
+        context.metrics.add_gauge(
+            "seats_held", "Slots of the cold budget that may be used", self._usable_slots
+        )
 
     def _lease_settings(self) -> LeaseSettings:
-        settings, loaded = self._settings, self._site.settings
+        settings, loaded = self._settings, self._context.settings
         return LeaseSettings(
-            name=self._site.name,
+            name=self._context.name,
             life=self._state_file.life,
             address=settings.advertise,
             slots=loaded.module.schedulers,
             voters=settings.voters,
             lease_ns=settings.lease_ns,
-            window_ns=loaded.lease_rest_ns,
+            window_ns=loaded.lease_cooldown_ns,
         )
 
     def _on_tick(self) -> None:
         if self._tell_leases is not None:
             names = self.member_names()
-            rank = names.index(self._site.name)
+            rank = names.index(self._context.name)
             self._tell_leases(MembershipSummary(len(names), rank, self.is_confirmed()))
 
     def _on_leases(self, held: LeasesHeld) -> None:
-        self._site.tell_module(SeatShare(held.slots, held.until_ns))
-        self._site.log.debug("seats", slots=held.slots, until_ns=held.until_ns)
+        self._context.tell_module(SeatShare(held.slots, held.until_ns))
+        self._context.log.debug("seats", slots=held.slots, until_ns=held.until_ns)
 
     def _usable_slots(self) -> float:
         return (
-            float(len(self.leases.get_usable_leases(self._site.loop.now_ns()).slots))
+            float(len(self.leases.get_usable_leases(self._context.loop.now_ns()).slots))
             if self.leases is not None
             else 0.0
         )
@@ -198,7 +200,7 @@
     def stop(self, now: bool) -> None:
         return
 
-    def owes(self) -> int:
+    def count_unsettled(self) -> int:
         return 0
 
     def close(self) -> None:
@@ -215,11 +217,11 @@
         peers = self.view.get_peer_addresses()
         if peers and peers != self._state_file.peers:
             self._state_file.save(peers)
-        self._site.loop.call_later(SAVE_INTERVAL_NS, self._save)
+        self._context.loop.call_later(SAVE_INTERVAL_NS, self._save)
 
     def _log_change(self, change: MemberChanged) -> None:
-        log = self._site.log.warning if change.change in _WARNED_CHANGES else self._site.log.info
+        log = self._context.log.warning if change.change in _WARNED_CHANGES else self._context.log.info
         log("member", change=change.change.value, member=change.name, life=change.life, cause=change.cause)
 
     def _log_spoilt(self, row: MalformedInputCount) -> None:
-        self._site.log.warning("spoilt", kind=row.kind, peer=row.peer, count=row.count)
+        self._context.log.warning("spoilt", kind=row.kind, peer=row.peer, count=row.count)
--- a/ladderhub/server/policyrequests.py
+++ b/ladderhub/server/policyrequests.py
@@ -16,9 +16,9 @@
 from ladderhub.revision.types import (
     Applied, Invalid, LostTo, NoMajority, Outcome, Refused, StaleParent, Unchanged,
 )  # fmt: skip
-from ladderhub.server.door import Answer
+from ladderhub.server.clientlistener import ReplyCallback
+from ladderhub.server.context import DaemonContext
 from ladderhub.server.revisions import RevisionService
-from ladderhub.server.site import Site
 
 CURRENT = "current"
 S, MS = 1_000_000_000, 1_000_000
@@ -36,12 +36,12 @@
 class PolicyRequests:
     """Serves `ladderhub policy`."""
 
-    def __init__(self, site: Site, service: RevisionService) -> None:
-        self._site, self._service = site, service
+    def __init__(self, context: DaemonContext, service: RevisionService) -> None:
+        self._context, self._service = context, service
 
-    def serve(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
-        if self._site.stopping:
-            answer(refusal(n.SERVER_BUSY, f"{self._site.name} is stopping"))
+    def serve(self, connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
+        if self._context.stopping:
+            answer(refusal(n.SERVER_BUSY, f"{self._context.name} is stopping"))
             return
         try:
             if request.command == n.CMD_CREATE:
@@ -57,7 +57,7 @@
 
     # --- apply ------------------------------------------------------------------------------------------
 
-    def _apply(self, request: Request, answer: Answer) -> None:
+    def _apply(self, request: Request, answer: ReplyCallback) -> None:
         body = request.get("body").encode("utf-8", "surrogateescape")
         author = request.get("author") or request.user
         members = self._service.member_names()
@@ -81,7 +81,7 @@
     # --- show and status --------------------------------------------------------------------------------
 
     def _header(self, text: str, where: str) -> Header:
-        status = self._service.revisions.status(self._site.loop.now_ns())
+        status = self._service.revisions.status(self._context.loop.now_ns())
         if text == CURRENT:
             if status.active is None:
                 raise PolicyError("no revision is in force here yet", where=where)
@@ -97,22 +97,22 @@
         header = self._header(text, "revision")
         body = self._service.revisions.body_of(header)
         if body is None:
-            raise PolicyError(f"its body is no longer kept by {self._site.name}", where=f"revision {text}")
+            raise PolicyError(f"its body is no longer kept by {self._context.name}", where=f"revision {text}")
         told = [*_header_attrs(header), Attr("body", body.decode("utf-8", "surrogateescape"))]
         return Row(n.OBJ_POLICY, str(header.number), told)
 
     def _status_row(self) -> Row:
-        status = self._service.revisions.status(self._site.loop.now_ns())
+        status = self._service.revisions.status(self._context.loop.now_ns())
         attrs = self._service.status_rows()
         if status.active is not None:
             attrs += _header_attrs(status.active)
-        return Row(n.OBJ_POLICY, self._site.name, attrs)
+        return Row(n.OBJ_POLICY, self._context.name, attrs)
 
     def _member_rows(self) -> list[Row]:
         """The newest revision that each other member was heard to know."""
-        now, heads, rows = self._site.loop.now_ns(), self._service.heads(), []
+        now, heads, rows = self._context.loop.now_ns(), self._service.heads(), []
         for name in self._service.member_names():
-            if name == self._site.name:
+            if name == self._context.name:
                 continue
             attrs: list[Attr] = []
             if name in heads:
--- a/ladderhub/server/revisions.py
+++ b/ladderhub/server/revisions.py
@@ -15,10 +15,10 @@
 from ladderhub.revision.content import body_digest, digest_of
 from ladderhub.revision.messages import Head, Header
 from ladderhub.revision.types import Acceptance, Event, NoMajority, Outcome
-from ladderhub.server.lasting import SpoolError, write_lasting
+from ladderhub.server.context import DaemonContext, PolicyRevision
 from ladderhub.server.peers import PeerService
-from ladderhub.server.settings import policy_body
-from ladderhub.server.site import PolicyRevision, Site
+from ladderhub.server.settings import encode_policy
+from ladderhub.server.spool import SpoolError, write_durably
 from ladderhub.usage.processor import Cause
 
 S, MS = 1_000_000_000, 1_000_000
@@ -60,7 +60,7 @@
             raise RevisionFileError(str(fault), where=str(self._path)) from None
 
     def save(self, record: Record) -> None:
-        write_lasting(self._path, encode_record(record))
+        write_durably(self._path, encode_record(record))
 
 
 @dataclass(frozen=True, slots=True)
@@ -78,22 +78,22 @@
 
     `record.headers` in what is stored are chosen revisions, so each is logged as it comes to be stored."""
 
-    def __init__(self, site: Site, peers: PeerService) -> None:
-        self._site, self._peers = site, peers
-        self._file = RevisionFile(site.folder)
+    def __init__(self, context: DaemonContext, peers: PeerService) -> None:
+        self._context, self._peers = context, peers
+        self._file = RevisionFile(context.folder)
         record = self._file.load()
-        own_body = policy_body(site.settings.file)
-        settings = RevisionSettings(site.name, peers.life, peers.address, peers.voters, own_body)
-        self.revisions = Revisions(settings, record, site.settings.file.seed)
-        site.revision = PolicyRevision(NO_REVISION, body_digest(own_body))
+        own_body = encode_policy(context.settings.file)
+        settings = RevisionSettings(context.name, peers.life, peers.address, peers.voters, own_body)
+        self.revisions = Revisions(settings, record, context.settings.file.seed)
+        context.revision = PolicyRevision(NO_REVISION, body_digest(own_body))
         self._tell: Callable[[Event], None] | None = None
         self._carrier: RevisionExecutor | None = None
         self._waiting: dict[int, _Request] = {}
         self._next_request = 1
         self._logged = record.headers[-1].number if record is not None and record.headers else 0
         self._accepted: Acceptance | None = record.accepted if record is not None else None
-        site.status_rows.append(self.status_rows)
-        gauge = site.metrics.gauge
+        context.status_sources.append(self.status_rows)
+        gauge = context.metrics.add_gauge
         gauge("revision_active", "Number of the revision that is acted by", self._active_number)
         gauge("revision_age_seconds", "Since a majority confirmed it; -1: not in this life", self._age_s)
 
@@ -102,26 +102,30 @@
     def start(self) -> None:
         carrier = RevisionExecutor(self._peers.transport, self.revisions, self)
         self._carrier = carrier
-        tell = self._site.dispatcher.register(self.revisions, carrier)
-        self._tell = self._site.processor.bind(Cause.CONFIGURATION, tell)
-        self._site.before_event = self._check_clock
+        tell = self._context.dispatcher.register(self.revisions, carrier)
+        self._tell = self._context.processor.bind(Cause.CONFIGURATION, tell)
+        self._context.before_event = self._check_clock
         carrier.join(self._tell)
 
     def stop(self, now: bool) -> None:
         return
 
-    def owes(self) -> int:
+    def count_unsettled(self) -> int:
         return 0
 
     def close(self) -> None:
-        self._site.before_event = None
+        self._context.before_event = None
         if self._carrier is not None:
             self._carrier.close()
 
     def _check_clock(self) -> None:
         """A process that stood still hears of that before it decides anything."""
-        site = self._site
-        if self._tell is not None and not site.held and self.revisions.is_stale(site.loop.now_ns()):
+        context = self._context
+        if (
+            self._tell is not None
+            and not context.hold_reason
+            and self.revisions.is_stale(context.loop.now_ns())
+        ):
             self._tell(Tick())
 
     # --- for operators ----------------------------------------------------------------------------------
@@ -139,7 +143,7 @@
 
     def _log_request(self, what: str, request: _Request, **more: object) -> None:
         body, author, made_ms = request.body, request.author, request.made_ms
-        self._site.log.info("revision", what=what, body=body, author=author, made_ms=made_ms, **more)
+        self._context.log.info("revision", what=what, body=body, author=author, made_ms=made_ms, **more)
 
     def heads(self) -> dict[str, tuple[Head, int]]:
         """By the name of a member: the newest revision that it knew, and when it said so."""
@@ -150,8 +154,8 @@
 
     def status_rows(self) -> list[Attr]:
         """Rows of the server's status."""
-        status = self.revisions.status(self._site.loop.now_ns())
-        number, digest = self._site.revision.number, self._site.revision.digest
+        status = self.revisions.status(self._context.loop.now_ns())
+        number, digest = self._context.revision.number, self._context.revision.digest
         age = "unknown" if status.age_ns is None else f"{status.age_ns / S:.1f}"
         rows = [Attr("revision", f"{number} {digest.hex()}"), Attr("revision_age", age)]
         rows.append(Attr("revision_state", self._state_word(status.hold_reason, status.fault)))
@@ -163,10 +167,10 @@
         return f"cannot act by the newest: {fault}" if fault is not None else "in force"
 
     def _active_number(self) -> float:
-        return float(self._site.revision.number)
+        return float(self._context.revision.number)
 
     def _age_s(self) -> float:
-        age = self.revisions.status(self._site.loop.now_ns()).age_ns
+        age = self.revisions.status(self._context.loop.now_ns()).age_ns
         return -1.0 if age is None else age / S
 
     # --- as the host of the carrier ---------------------------------------------------------------------
@@ -175,7 +179,7 @@
         try:
             self._file.save(record)
         except OSError as fault:
-            self._site.log.error("revision", what="not stored", text=str(fault))
+            self._context.log.error("revision", what="not stored", text=str(fault))
             raise
         accepted = record.accepted
         if accepted is not None and accepted != self._accepted:
@@ -188,8 +192,8 @@
                 self._log_header("chosen", header)
 
     def _log_header(self, what: str, header: Header, **more: object) -> None:
-        age = self.revisions.status(self._site.loop.now_ns()).age_ns
-        self._site.log.info(
+        age = self.revisions.status(self._context.loop.now_ns()).age_ns
+        self._context.log.info(
             "revision", what=what, number=header.number, digest=digest_of(header).hex(),
             parent=header.parent.hex(), body=header.body.hex(), author=header.author, made_ms=header.made_ms,
             age_ms=-1 if age is None else age // MS, **more,
@@ -198,17 +202,17 @@
     def check_body(self, body: bytes) -> str | None:
         fault: str | None = None
         try:
-            self._site.settings.with_policy(body, "policy")
+            self._context.settings.with_policy(body, "policy")
         except LadderhubError as found:
             fault = str(found)
-        self._site.log.info("revision", what="checked", body=body_digest(body).hex(), fault=fault or "")
+        self._context.log.info("revision", what="checked", body=body_digest(body).hex(), fault=fault or "")
         return fault
 
     def activate(self, revision: Revision) -> None:
         header = revision.header
-        loaded = self._site.newest_settings().with_policy(revision.body, f"revision {header.number}")
+        loaded = self._context.get_newest_settings().with_policy(revision.body, f"revision {header.number}")
         self._log_header("active", header)
-        self._site.change_settings(loaded, header.number, revision.digest)
+        self._context.change_settings(loaded, header.number, revision.digest)
 
     def answer(self, request: int, outcome: Outcome) -> None:
         waiting = self._waiting.pop(request)
@@ -217,15 +221,15 @@
         waiting.answer(outcome)
 
     def hold(self, reason: str) -> None:
-        self._site.log.info("revision", what="held", text=reason)
-        self._site.hold(f"catching up with the configuration: {reason}")
+        self._context.log.info("revision", what="held", text=reason)
+        self._context.hold(f"catching up with the configuration: {reason}")
 
     def resume(self) -> None:
-        self._site.log.info("revision", what="resumed")
-        self._site.resume()
+        self._context.log.info("revision", what="resumed")
+        self._context.resume()
 
     def notify(self, notice: Notice, text: str) -> None:
         if notice in _LOGGED_ELSEWHERE:
             return
-        log = self._site.log.warning if notice in _WARNED else self._site.log.info
+        log = self._context.log.warning if notice in _WARNED else self._context.log.info
         log("revision", what=_WORDS[notice], text=text)
--- a/ladderhub/server/services.py
+++ b/ladderhub/server/services.py
@@ -21,13 +21,13 @@
 from ladderhub.rollout import Rollouts
 from ladderhub.rollout import types as t
 from ladderhub.rollout.plan import plan
-from ladderhub.server.door import Answer
+from ladderhub.server.clientlistener import ReplyCallback
+from ladderhub.server.context import DaemonContext
 from ladderhub.server.intake import Intake
 from ladderhub.server.jobs import JobRecord
-from ladderhub.server.lasting import SpoolError, write_lasting
 from ladderhub.server.members import Members
-from ladderhub.server.settings import SettingsError, span_ns
-from ladderhub.server.site import Site
+from ladderhub.server.settings import SettingsError, parse_duration_ns
+from ladderhub.server.spool import SpoolError, write_durably
 from ladderhub.server.words import int_of
 from ladderhub.usage.processor import Cause
 
@@ -74,26 +74,28 @@
 class Services:
     """Carrier of the rollout decisions, and a part of the daemon."""
 
-    def __init__(self, site: Site, intake: Intake, members: Members) -> None:
-        self._site, self._intake, self._members = site, intake, members
-        self.rollouts = Rollouts(site.settings.rollouts)
-        self._tell = site.dispatcher.register(self.rollouts, self)
+    def __init__(self, context: DaemonContext, intake: Intake, members: Members) -> None:
+        self._context, self._intake, self._members = context, intake, members
+        self.rollouts = Rollouts(context.settings.rollouts)
+        self._tell = context.dispatcher.register(self.rollouts, self)
         self._books: dict[str, Book] = {}
         self._record_of: dict[int, JobRecord] = {}  # copy -> its job
         self._copy_of: dict[int, int] = {}  # job number -> copy
         self._doubtful: dict[int, int] = {}  # number of a job that is over -> copy that may be alive
         self._found = 0  # copies of an earlier life have numbers below 0
         self._wake: Timer | None = None
-        self._path = site.folder / "services.json"
+        self._path = context.folder / "services.json"
         self.settled = True
-        site.on_placed.append(self._placed)
-        site.on_unplaced.append(self._unplaced)
-        site.on_finished.append(self._finished)
-        site.on_node.append(lambda node, back: self._tell((t.NodeBack if back else t.NodeGone)(node)))
-        site.on_news.append(self._news)
-        site.on_settings.append(lambda: self._tell(t.SettingsChanged(site.settings.rollouts)))
-        site.metrics.gauge("services", "Services declared", lambda: len(self._books))
-        site.metrics.gauge("copies_down", "Copies of services without a healthy run", self._down)
+        context.on_placed.append(self._placed)
+        context.on_unplaced.append(self._unplaced)
+        context.on_finished.append(self._finished)
+        context.on_node_changed.append(
+            lambda node, back: self._tell((t.NodeBack if back else t.NodeGone)(node))
+        )
+        context.on_finished_job_report.append(self._news)
+        context.on_settings_changed.append(lambda: self._tell(t.SettingsChanged(context.settings.rollouts)))
+        context.metrics.add_gauge("services", "Services declared", lambda: len(self._books))
+        context.metrics.add_gauge("copies_down", "Copies of services without a healthy run", self._down)
 
     def queues(self) -> set[str]:
         """Queues that have services."""
@@ -106,7 +108,7 @@
 
     def start(self) -> None:
         """Take up what an earlier life declared; SpoolError where its file can't be read."""
-        self._site.processor.run(Cause.JOBS, self._restore)
+        self._context.processor.run(Cause.JOBS, self._restore)
 
     def _restore(self) -> None:
         try:
@@ -116,7 +118,7 @@
         except msgspec.MsgspecError as fault:
             raise SpoolError(str(fault), where=str(self._path), expected="what the scheduler left") from None
         for book in books:
-            if not self._site.settings.queues.is_known(book.queue):
+            if not self._context.settings.queues.is_known(book.queue):
                 where = f"{self._path}: service {book.name}"
                 raise SpoolError(f"the queue {book.queue} is not known", where=where)
             self._books[book.name] = book
@@ -134,15 +136,15 @@
         """Danger: copies that run and were not heard of yet would be started a second time."""
         if self._members.unheard() == set():
             self.settled = True
-            self._site.log.info("rollout", what="settled", text="every node has said what it runs")
+            self._context.log.info("rollout", what="settled", text="every node has said what it runs")
             self._tell(t.Settled())
-        elif not self._site.stopping:
-            self._site.loop.call_later(SETTLED_LOOK_NS, self._look_settled)
+        elif not self._context.stopping:
+            self._context.loop.call_later(SETTLED_LOOK_NS, self._look_settled)
 
     def stop(self, now: bool) -> None:
         """Copies that run, run on; the successor finds them."""
 
-    def owes(self) -> int:
+    def count_unsettled(self) -> int:
         return 0
 
     def close(self) -> None:
@@ -151,7 +153,7 @@
     # --- what the decisions say -----------------------------------------------------------------------------
 
     def execute(self, now: int, action: t.Action) -> None:
-        if self._site.stopping:
+        if self._context.stopping:
             return
         match action:
             case t.StartCopy():
@@ -159,13 +161,13 @@
             case t.StopCopy(copy):
                 record = self._record_of.get(copy)
                 if record is not None:
-                    self._site.tell_owner(own.Cancelled(record.number))
+                    self._context.tell_owner(own.Cancelled(record.number))
             case t.Wake(at):
                 if self._wake is not None:
                     self._wake.cancel()
-                self._wake = self._site.loop.call_at(at, self._tell, t.Due())
+                self._wake = self._context.loop.call_at(at, self._tell, t.Due())
             case t.Note(service, what, text):
-                self._site.log.info("rollout", service=service, what=what, text=text)
+                self._context.log.info("rollout", service=service, what=what, text=text)
             case t.Keep(service):
                 self._keep(service)
 
@@ -176,12 +178,12 @@
         book = self._books[action.service]
         version = book.versions[action.version]
         try:
-            job = f"{self._intake.numbers.take()}.{self._site.name}"
+            job = f"{self._intake.numbers.take()}.{self._context.name}"
         except OSError as fault:
-            self._site.log.error("no job number", exc_info=fault)
+            self._context.log.error("no job number", exc_info=fault)
             self._tell(t.Ended(action.copy, t.End.REFUSED))
             return
-        record = self._site.jobs.add(job, self._site.settings.queues.index(book.queue), now)
+        record = self._context.jobs.add(job, self._context.settings.queues.index(book.queue), now)
         attrs = [Attr(name, value, resource) for name, resource, value in version.attrs]
         attrs += [Attr(SLOT, str(action.slot)), Attr(VERSION, str(action.version))]
         self._intake.describe(record, attrs)
@@ -203,7 +205,7 @@
             used = {copy.version for copy in self.rollouts.copies(name)} | {book.version, book.previous}
             used |= {slot.settled for slot in service.slots} | ({book.queued[0]} if book.queued else set())
             book.versions = {number: what for number, what in book.versions.items() if number in used}
-        write_lasting(self._path, msgspec.json.encode(list(self._books.values())))
+        write_durably(self._path, msgspec.json.encode(list(self._books.values())))
 
     # --- what becomes of copies -----------------------------------------------------------------------------
 
@@ -229,7 +231,7 @@
         if copy is None:
             return
         del self._record_of[copy]
-        proven = not self._site.owner.has_orphan(record.number)
+        proven = not self._context.owner.has_orphan(record.number)
         if not proven:
             self._doubtful[record.number], record.pinned = copy, True
         end = {"placed": t.End.DONE, "refused": t.End.REFUSED}.get(record.answer, t.End.LOST)
@@ -239,17 +241,17 @@
 
     def _news(self, number: int) -> None:
         copy = self._doubtful.get(number)
-        if copy is not None and not self._site.owner.has_orphan(number):
+        if copy is not None and not self._context.owner.has_orphan(number):
             del self._doubtful[number]
-            self._site.jobs.by_number[number].pinned = False
+            self._context.jobs.by_number[number].pinned = False
             self._tell(t.Proven(copy))
 
     # --- requests -------------------------------------------------------------------------------------------
 
-    def serve(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
+    def serve(self, connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
         """Manager on a service: create (or plan), set action=..., delete, list."""
-        if self._site.stopping:
-            answer(refusal(n.SERVER_BUSY, f"{self._site.name} is stopping"))
+        if self._context.stopping:
+            answer(refusal(n.SERVER_BUSY, f"{self._context.name} is stopping"))
             return
         try:
             if request.command == n.CMD_CREATE:
@@ -282,12 +284,12 @@
         known = self.rollouts.services.get(name)
         if known is not None:  # its copies run, and are started, by what it was declared with
             return t.ServiceRules(name, count, known.rules.effect, known.rules.repeat_ns)
-        klass = self._site.settings.module.classes[self._site.settings.queues.index(queue)]
+        klass = self._context.settings.module.classes[self._context.settings.queues.index(queue)]
         repeat = klass.dedupe_window_ns if klass.effect is Effect.KEYED else 0
         return t.ServiceRules(name, count, klass.effect, repeat)
 
     def _declare(self, request: Request) -> Reply:
-        name, site = request.name, self._site
+        name, context = request.name, self._context
         own_names = ("queue", "count", "script", "if_busy", "plan", "update")
         attrs = [attr for attr in request.attrs if attr.name not in own_names]
         if not name or not all(char.isalnum() or char in "._-" for char in name):
@@ -295,10 +297,10 @@
             raise ServiceError(f"found {name!r}", where="service", expected=meant)
         if not self.settled:
             why = "took up its services anew, and nodes have not all said what they run"
-            raise ServiceError(f"{site.name} {why}")
-        queue = request.get("queue") or site.settings.default_queue
-        if not site.settings.queues.is_open(queue):
-            meant = f"one of {', '.join(site.settings.queues.current)}"
+            raise ServiceError(f"{context.name} {why}")
+        queue = request.get("queue") or context.settings.default_queue
+        if not context.settings.queues.is_open(queue):
+            meant = f"one of {', '.join(context.settings.queues.current)}"
             raise ServiceError(f"found {queue!r}", where="queue", expected=meant)
         book = self._books.get(name)
         if book is not None and queue != book.queue:
@@ -316,7 +318,7 @@
         attrs += [Attr("service", name), Attr("Job_Owner", request.user)]
         if not request.get("Job_Name"):
             attrs.append(Attr("Job_Name", name if name[0].isalpha() else f"S{name}"))
-        probe = JobRecord(0, "", site.settings.queues.index(queue))
+        probe = JobRecord(0, "", context.settings.queues.index(queue))
         self._intake.describe(probe, attrs)
         never = self._intake.check(probe)
         if never:
@@ -330,7 +332,7 @@
             raise ServiceError(wrong)
         if request.get("plan"):
             mean = self.rollouts.mean_start_ns()
-            reckoned = plan(rules, limits, site.settings.rollouts.most_at_once, mean, 0)
+            reckoned = plan(rules, limits, context.settings.rollouts.most_at_once, mean, 0)
             return Reply(0, n.R_STATUS, rows=[Row(n.OBJ_SERVICE, name, [
                 Attr("count", str(rules.count)), Attr("effect", rules.effect.value),
                 Attr("at_once", str(reckoned.at_once)), Attr("waves", str(reckoned.waves)),
@@ -347,7 +349,7 @@
         if name not in self.rollouts.services:
             known = ", ".join(self._books) or "none"
             raise ServiceError(f"service: found {name!r}; one that is declared is meant: {known}")
-        view = self.rollouts.view(self._site.loop.now_ns(), name)
+        view = self.rollouts.view(self._context.loop.now_ns(), name)
         attrs = [
             Attr("queue", self._books[name].queue), Attr("count", str(view.count)),
             Attr("version", str(view.version)), Attr("previous", str(view.previous)),
@@ -376,7 +378,7 @@
         elif key == "failures_number":
             found["failures"] = _whole(text, where)
         elif key in _SPANS:
-            found[_SPANS[key]] = span_ns(text, where)
+            found[_SPANS[key]] = parse_duration_ns(text, where)
         elif key == "failures_share":
             try:
                 found["failed_share"] = float(text)
--- a/ladderhub/server/settings/__init__.py
+++ b/ladderhub/server/settings/__init__.py
@@ -8,22 +8,22 @@
 bytes, and `loaded` all of it together.
 """
 
-from ladderhub.server.settings.checks import SettingsError, address_of, span_ns
-from ladderhub.server.settings.loaded import Loaded, check, evaluate, load
+from ladderhub.server.settings.checks import SettingsError, parse_duration_ns, parse_setting_address
+from ladderhub.server.settings.loaded import LoadedSettings, check, evaluate, load
 from ladderhub.server.settings.names import NameTable
 from ladderhub.server.settings.peers import PeerSettings
-from ladderhub.server.settings.policy import policy_body, policy_difference
+from ladderhub.server.settings.policy import diff_policies, encode_policy
 
 __all__ = [
-    "Loaded",
+    "LoadedSettings",
     "NameTable",
     "PeerSettings",
     "SettingsError",
-    "address_of",
     "check",
+    "diff_policies",
+    "encode_policy",
     "evaluate",
     "load",
-    "policy_body",
-    "policy_difference",
-    "span_ns",
+    "parse_duration_ns",
+    "parse_setting_address",
 ]
--- a/ladderhub/server/settings/checks.py
+++ b/ladderhub/server/settings/checks.py
@@ -22,7 +22,7 @@
     remedy = "mend that field; `ladderhub check FILE` says whether the file is good without starting anything"
 
 
-def span_ns(text: str, where: str) -> int:
+def parse_duration_ns(text: str, where: str) -> int:
     """Nanoseconds of a span with its unit."""
     match = _SPAN.fullmatch(text.strip())
     if match is None:
@@ -32,7 +32,7 @@
     return round(float(match[1]) * _UNITS[match[2]])
 
 
-def address_of(text: str, where: str) -> tuple[str, int]:
+def parse_setting_address(text: str, where: str) -> tuple[str, int]:
     """Host and port of an address written HOST:PORT."""
     try:
         return parse_address(text)
@@ -67,11 +67,11 @@
 
     def span(self, path: str, text: str) -> int:
         """Nanoseconds."""
-        return span_ns(text, f"{self.source}: {path}")
+        return parse_duration_ns(text, f"{self.source}: {path}")
 
     def address(self, path: str, text: str) -> tuple[str, int]:
         """Host and port."""
-        return address_of(text, f"{self.source}: {path}")
+        return parse_setting_address(text, f"{self.source}: {path}")
 
     def size(self, path: str, text: str) -> float:
         """GiB."""
--- a/ladderhub/server/settings/terms.py
+++ b/ladderhub/server/settings/decision_settings.py
@@ -15,7 +15,7 @@
 from ladderhub.rollout.types import RolloutSettings
 from ladderhub.server.settings.checks import Checker
 from ladderhub.server.settings.names import NameTable
-from ladderhub.server.settings.schema import File, Queue, Repeats
+from ladderhub.server.settings.schema import Queue, Repeats, SettingsFile
 
 T = TypeVar("T")
 _SCOPES = {"none": "none", "node": "machine", "rack": "cell", "zone": "zone", "all": "all"}
@@ -37,7 +37,9 @@
     return tuple(now[name] if name in now else known[at] for at, name in enumerate(table.all))
 
 
-def module_settings(file: File, names: Names, known: api.Settings | None, checker: Checker) -> api.Settings:
+def module_settings(
+    file: SettingsFile, names: Names, known: api.Settings | None, checker: Checker
+) -> api.Settings:
     """Of the decision module."""
     kinds = {
         name: api.MachineKind(kind.cores, checker.size(f"kinds.{name}.memory", kind.memory))
@@ -82,7 +84,7 @@
         raise checker.refused(fault) from None
 
 
-def _task_class(name: str, queue: Queue, file: File, names: Names, checker: Checker) -> api.TaskClass:
+def _task_class(name: str, queue: Queue, file: SettingsFile, names: Names, checker: Checker) -> api.TaskClass:
     path = f"queues.{name}"
     spread, repeats = queue.spread, queue.repeats or Repeats()
     if queue.kind and queue.kind not in file.kinds:
@@ -107,7 +109,7 @@
 
 
 def owner_settings(
-    file: File, names: Names, module: api.Settings, known: OwnerSettings | None, checker: Checker
+    file: SettingsFile, names: Names, module: api.Settings, known: OwnerSettings | None, checker: Checker
 ) -> OwnerSettings:
     """Of the owner's decisions."""
     rules = {
@@ -136,7 +138,7 @@
     )
 
 
-def rollout_settings(file: File, checker: Checker) -> RolloutSettings:
+def rollout_settings(file: SettingsFile, checker: Checker) -> RolloutSettings:
     """Of all updates of services together."""
     given = file.rollouts
     back_first_ns = checker.span("rollouts.back_first", given.back_first)
--- a/ladderhub/server/settings/peers.py
+++ b/ladderhub/server/settings/peers.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from ladderhub.server.settings.checks import Checker
-from ladderhub.server.settings.schema import File
+from ladderhub.server.settings.schema import SettingsFile
 
 
 @dataclass(frozen=True, slots=True)
@@ -21,7 +21,7 @@
     lease_ns: int
 
 
-def peer_settings(file: File, checker: Checker) -> PeerSettings | None:
+def peer_settings(file: SettingsFile, checker: Checker) -> PeerSettings | None:
     """Check them; None where the file names no peers."""
     given = file.peers
     if given is None:
--- a/ladderhub/server/settings/policy.py
+++ b/ladderhub/server/settings/policy.py
@@ -13,13 +13,13 @@
 _KINDS_OF_NAMES = {"queues": "queue", "tenants": "tenant", "kinds": "kind of node"}
 
 
-def policy_body(policy: Policy) -> bytes:
+def encode_policy(policy: Policy) -> bytes:
     """The policy part of the settings: JSON with every field, names in alphabetical order."""
     fields = {field: getattr(policy, field) for field in Policy.__struct_fields__}
     return msgspec.json.encode(fields, order="sorted")
 
 
-def read_policy(body: bytes, source: str) -> Policy:
+def decode_policy(body: bytes, source: str) -> Policy:
     """The policy in a body; `SettingsError` names the field that can't be read."""
     try:
         return msgspec.json.decode(body, type=Policy)
@@ -29,7 +29,7 @@
         raise SettingsError(str(fault), where=source, expected="a policy as JSON") from None
 
 
-def policy_difference(old: bytes, new: bytes) -> list[str]:
+def diff_policies(old: bytes, new: bytes) -> list[str]:
     """What differs between two bodies, a line for each queue, tenant, kind or setting that does."""
     before, after = (msgspec.json.decode(body) for body in (old, new))
     lines: list[str] = []
--- a/ladderhub/server/settings/schema.py
+++ b/ladderhub/server/settings/schema.py
@@ -135,7 +135,7 @@
     keep_finished: str = "10m"
 
 
-class File(Policy, forbid_unknown_fields=True, kw_only=True):
+class SettingsFile(Policy, forbid_unknown_fields=True, kw_only=True):
     """The whole file."""
 
     server: str
--- a/ladderhub/server/lasting.py
+++ b/ladderhub/server/spool.py
@@ -23,7 +23,7 @@
     remedy = "end that process, or give this scheduler a spool folder of its own"
 
 
-class FolderLock:
+class SpoolLock:
     """One daemon to a spool folder: two would give job numbers twice and run services twice.
 
     The kernel lets go of it when the process ends, however it ends."""
@@ -47,7 +47,7 @@
             self._file = -1
 
 
-def write_lasting(path: Path, data: bytes) -> None:
+def write_durably(path: Path, data: bytes) -> None:
     """Replace the file's content in one step, on disk when this returns; OSError where that fails."""
     fresh = path.with_suffix(".new")
     with open(fresh, "wb") as file:
--- a/ladderhub/server/status.py
+++ b/ladderhub/server/status.py
@@ -8,10 +8,10 @@
 from ladderhub.pbs.batch import Attr, Reply, Request, Row, encode_rows, refusal
 from ladderhub.pbs.connection import ServerConnection
 from ladderhub.pbs.resources import ResourceError, parse_size, parse_time
-from ladderhub.server.door import Answer, Serve
+from ladderhub.server.clientlistener import ReplyCallback, RequestHandler
+from ladderhub.server.context import DaemonContext
 from ladderhub.server.jobs import PLAIN, JobRecord, row_of, short_row
 from ladderhub.server.members import Members
-from ladderhub.server.site import Site
 
 ROWS_AT_ONCE = 50
 SHORT = PLAIN | {"Resource_List", "resources_used", "Account_Name", "Priority"}
@@ -20,17 +20,17 @@
 class Status:
     """Serves what `qstat`, `qselect` and `pbsnodes` show."""
 
-    def __init__(self, site: Site, members: Members) -> None:
-        self._site, self._members = site, members
+    def __init__(self, context: DaemonContext, members: Members) -> None:
+        self._context, self._members = context, members
 
-    def serves(self) -> dict[int, Serve]:
+    def get_handlers(self) -> dict[int, RequestHandler]:
         return {
             n.STATUS_JOB: self.status_job, n.SELECT_JOBS: self.select, n.STATUS_QUEUE: self.status_queue,
             n.STATUS_SERVER: self.status_server, n.STATUS_NODE: self.status_node,
         }  # fmt: skip
 
     def _rows(self, records: list[JobRecord], attrs: list[Attr]) -> Reply | Iterator[bytes]:
-        names, server = self._site.settings.queues.all, self._site.name
+        names, server = self._context.settings.queues.all, self._context.name
         wanted = frozenset(attr.name for attr in attrs)
         known = wanted and wanted <= SHORT
 
@@ -48,21 +48,21 @@
             return encode_rows(len(records), rows(), ROWS_AT_ONCE)
         return Reply(0, n.R_STATUS, rows=list(rows()))
 
-    def status_job(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
+    def status_job(self, connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
         """One job, those of a queue, or all; finished ones too with the extension `x`."""
-        jobs, name = self._site.jobs, request.job
+        jobs, name = self._context.jobs, request.job
         if not name or name.startswith("@") or name[0].isalpha():
             queue = name.partition("@")[0]
-            if queue and not self._site.settings.queues.is_known(queue):
+            if queue and not self._context.settings.queues.is_known(queue):
                 answer(refusal(n.UNKNOWN_QUEUE, f"Unknown queue {queue}"))
                 return
             records = list(jobs.by_id.values() if "x" in request.extension else jobs.live.values())
             if queue:
-                at = self._site.settings.queues.index(queue)
+                at = self._context.settings.queues.index(queue)
                 records = [record for record in records if record.queue == at]
             answer(self._rows(records, request.attrs))
             return
-        record = self._site.jobs.find(name)
+        record = self._context.jobs.find(name)
         if record is None:
             answer(refusal(n.UNKNOWN_JOB, f"Unknown Job Id {name}"))
         elif record.state == "F" and "x" not in request.extension:
@@ -70,9 +70,9 @@
         else:
             answer(self._rows([record], request.attrs))
 
-    def select(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
-        records = self._site.jobs.by_id if "x" in request.extension else None
-        pool = list(records.values()) if records is not None else list(self._site.jobs.live.values())
+    def select(self, connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
+        records = self._context.jobs.by_id if "x" in request.extension else None
+        pool = list(records.values()) if records is not None else list(self._context.jobs.live.values())
         try:
             chosen = [record for record in pool if all(self._matches(record, attr) for attr in request.attrs)]
         except ResourceError as fault:
@@ -85,7 +85,7 @@
             return (record.state in attr.value) != (attr.op == n.OP_NE)
         own_value: str
         if attr.name in ("queue", "destination"):
-            own_value, attr = self._site.settings.queues.all[record.queue], Attr(
+            own_value, attr = self._context.settings.queues.all[record.queue], Attr(
                 attr.name, attr.value.partition("@")[0], "", attr.op
             )  # fmt: skip
             if not attr.value:
@@ -103,56 +103,56 @@
             return _ordered(mine > theirs, mine < theirs, attr.op)
         return _compare(own_value, attr.value, attr.op)
 
-    def status_queue(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
-        site = self._site
-        queues, wanted = site.settings.queues, request.name.partition("@")[0]
+    def status_queue(self, connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
+        context = self._context
+        queues, wanted = context.settings.queues, request.name.partition("@")[0]
         if wanted and not queues.is_known(wanted):
             answer(refusal(n.UNKNOWN_QUEUE, f"Unknown queue {wanted}"))
             return
         rows = []
         for name in [wanted] if wanted else queues.all:
             at = queues.index(name)
-            queue, is_open = site.settings.queue_at[at], queues.is_open(name)
-            records = [record for record in site.jobs.live.values() if record.queue == at]
+            queue, is_open = context.settings.queues_by_index[at], queues.is_open(name)
+            records = [record for record in context.jobs.live.values() if record.queue == at]
             if not (wanted or is_open or records):
                 continue  # it was removed, and has finished what it had
             rows.append(
                 Row(n.OBJ_QUEUE, name, [
                     Attr("queue_type", "Execution"), Attr("total_jobs", str(len(records))),
                     Attr("state_count", _counts(records)), Attr("Priority", str(queue.priority)),
-                    Attr("enabled", "True" if is_open and not site.stopping else "False"),
+                    Attr("enabled", "True" if is_open and not context.stopping else "False"),
                     Attr("started", "True"),
                     Attr("effect", queue.effect), Attr("limit", queue.limit),
                 ])
             )  # fmt: skip
         answer(Reply(0, n.R_STATUS, rows=rows))
 
-    def status_server(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
-        site, listed = self._site, self._members.list
-        records = list(site.jobs.live.values())
-        state = "Terminating" if site.stopping else "Active"
-        row = Row(n.OBJ_SERVER, site.name, [
+    def status_server(self, connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
+        context, listed = self._context, self._members.list
+        records = list(context.jobs.live.values())
+        state = "Terminating" if context.stopping else "Active"
+        row = Row(n.OBJ_SERVER, context.name, [
             Attr("server_state", state), Attr("total_jobs", str(len(records))),
-            Attr("state_count", _counts(records)), Attr("default_queue", site.settings.default_queue),
+            Attr("state_count", _counts(records)), Attr("default_queue", context.settings.default_queue),
             Attr("nodes", str(len(listed.entries))), Attr("list_version", str(listed.version)),
-            Attr("owed", str(site.owner.count_unanswered())),
-            *(attr for rows in site.status_rows for attr in rows()),
+            Attr("owed", str(context.owner.count_unanswered())),
+            *(attr for rows in context.status_sources for attr in rows()),
         ])  # fmt: skip
         answer(Reply(0, n.R_STATUS, rows=[row]))
 
-    def status_node(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
-        site = self._site
+    def status_node(self, connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
+        context = self._context
         if request.name and request.name not in self._members.list.entries:
             answer(refusal(n.UNKNOWN_NODE, f"Unknown node {request.name}"))
             return
         jobs: dict[str, list[str]] = {}
-        for record in site.jobs.live.values():
-            jobs.setdefault(next(iter(site.runs.placed_at(record.number)), ""), []).append(record.id)
+        for record in context.jobs.live.values():
+            jobs.setdefault(next(iter(context.runs.placed_at(record.number)), ""), []).append(record.id)
         rows = []
         for name, entry in sorted(self._members.list.entries.items()):
             if request.name in ("", name):
                 drains = entry.stage == "draining" or name in self._members.offline
-                kind = site.settings.file.kinds.get(entry.kind)
+                kind = context.settings.file.kinds.get(entry.kind)
                 rows.append(
                     Row(n.OBJ_NODE, name, [
                         Attr("state", "offline" if drains else "free"), Attr("Mom", entry.address),
--- a/ladderhub/server/submitting.py
+++ b/ladderhub/server/submitting.py
@@ -6,10 +6,10 @@
 from ladderhub.pbs.batch import Reply, Request, refusal
 from ladderhub.pbs.connection import Draft, ServerConnection
 from ladderhub.pbs.resources import ResourceError
-from ladderhub.server.door import Answer, Serve
+from ladderhub.server.clientlistener import ReplyCallback, RequestHandler
+from ladderhub.server.context import DaemonContext
 from ladderhub.server.intake import Intake
 from ladderhub.server.jobs import JobRecord
-from ladderhub.server.site import Site
 
 _HELD = ("u", "o", "s")
 
@@ -17,24 +17,28 @@
 class Submitting:
     """Serves submissions; a job is taken at its Commit and not before."""
 
-    def __init__(self, site: Site, intake: Intake) -> None:
-        self._site, self._intake = site, intake
+    def __init__(self, context: DaemonContext, intake: Intake) -> None:
+        self._context, self._intake = context, intake
 
-    def serves(self) -> dict[int, Serve]:
+    def get_handlers(self) -> dict[int, RequestHandler]:
         return {
             n.QUEUE_JOB: self.queue_job, n.JOB_SCRIPT: self.job_script, n.READY_TO_COMMIT: self.ready,
             n.COMMIT: self.commit,
         }  # fmt: skip
 
-    def queue_job(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
-        site = self._site
-        if site.stopping:
-            answer(refusal(n.SERVER_BUSY, f"{site.name} is stopping; submit to another scheduler"))
+    def queue_job(self, connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
+        context = self._context
+        if context.stopping:
+            answer(refusal(n.SERVER_BUSY, f"{context.name} is stopping; submit to another scheduler"))
             return
-        if len(site.jobs.live) >= site.settings.file.most_jobs:
-            answer(refusal(n.SERVER_BUSY, f"{site.name} holds {len(site.jobs.live)} jobs, as many as it may"))
+        if len(context.jobs.live) >= context.settings.file.most_jobs:
+            answer(
+                refusal(
+                    n.SERVER_BUSY, f"{context.name} holds {len(context.jobs.live)} jobs, as many as it may"
+                )
+            )
             return
-        name = request.destination.partition("@")[0] or site.settings.default_queue
+        name = request.destination.partition("@")[0] or context.settings.default_queue
         closed = self._closed(name)
         if closed is not None:
             answer(closed)
@@ -47,14 +51,14 @@
         if refused is not None:
             answer(refused)
             return
-        job = f"{self._intake.numbers.take()}.{site.name}"
+        job = f"{self._intake.numbers.take()}.{context.name}"
         request.destination = name  # as answered, also where another queue is the default by its Commit
         connection.draft = Draft(job, request)
         answer(Reply(0, n.R_QUEUE, job=job))
 
     def _refused(self, name: str, request: Request) -> Reply | None:
         """The refusal of a job that could never be placed."""
-        probe = JobRecord(0, "", self._site.settings.queues.index(name))
+        probe = JobRecord(0, "", self._context.settings.queues.index(name))
         try:
             self._intake.describe(probe, request.attrs)
         except ResourceError as fault:
@@ -64,7 +68,7 @@
 
     def _closed(self, name: str) -> Reply | None:
         """The refusal of a queue that takes no jobs."""
-        queues = self._site.settings.queues
+        queues = self._context.settings.queues
         if queues.is_open(name):
             return None
         known = ", ".join(queues.current)
@@ -73,7 +77,7 @@
             return refusal(n.QUEUE_NOT_ENABLED, text)
         return refusal(n.UNKNOWN_QUEUE, f"Unknown queue {name}; known are {known}")
 
-    def job_script(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
+    def job_script(self, connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
         draft = connection.draft
         assert draft is not None
         if len(draft.script) + len(request.data) > n.SCRIPT_MOST:
@@ -84,17 +88,17 @@
         draft.script += request.data
         answer(Reply())
 
-    def ready(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
+    def ready(self, connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
         answer(Reply(0, n.R_READY, job=request.job))
 
-    def commit(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
-        site, draft = self._site, connection.draft
+    def commit(self, connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
+        context, draft = self._context, connection.draft
         if draft is None:
-            record = self._site.jobs.find(request.job)
+            record = self._context.jobs.find(request.job)
             answer(Reply(0, n.R_COMMIT, job=record.id) if record else refusal(n.UNKNOWN_JOB))
             return
-        if site.stopping:
-            answer(refusal(n.SERVER_BUSY, f"{site.name} is stopping; submit to another scheduler"))
+        if context.stopping:
+            answer(refusal(n.SERVER_BUSY, f"{context.name} is stopping; submit to another scheduler"))
             return
         # The settings may have changed since Queue Job was answered.
         name = draft.request.destination
@@ -103,7 +107,7 @@
             connection.drop_draft()
             answer(refused)
             return
-        record = site.jobs.add(draft.job, site.settings.queues.index(name), site.loop.now_ns())
+        record = context.jobs.add(draft.job, context.settings.queues.index(name), context.loop.now_ns())
         self._intake.describe(record, draft.request.attrs)
         record.owner = record.owner or draft.request.user
         record.script = bytes(draft.script)
--- a/tests/hard_cases/test_clients.py
+++ b/tests/hard_cases/test_clients.py
@@ -69,7 +69,7 @@
     # Guards against a parser that throws, waits for ever, or holds what is announced.
     world = make(1)
     daemon = world.daemon()
-    http = HttpDoor(world.loop, ("127.0.0.1", 0), {"/metrics": daemon.metrics.page})
+    http = HttpDoor(world.loop, ("127.0.0.1", 0), {"/metrics": daemon.metrics.render_page})
     chance = random.Random(11)
     ports = (
         world.public, world.agents["node-1"].listener.address, world.directory.address, http.listener.address
@@ -82,7 +82,7 @@
     world.run_for(200 * MS)
     assert not world.troubles, world.troubles[0]
     assert world.wait(world.submit("billing"), "R")
-    world.until(lambda: not daemon.door.clients)
+    world.until(lambda: not daemon.client_listener.clients)
     http.close()
 
 
--- a/tests/hard_cases/test_surroundings.py
+++ b/tests/hard_cases/test_surroundings.py
@@ -101,7 +101,7 @@
     ended: list[bool] = []
     daemon.on_end = lambda: ended.append(True)
     world.until(lambda: daemon.jobs.by_id[starting].state != "R")
-    daemon.shut()
+    daemon.shut_down()
     world.until(lambda: ended)
     answers = {job: daemon.jobs.by_id[job].answer for job in (runs, held, starting)}
     assert answers == {runs: "placed", held: "refused", starting: "placed"}
--- a/tests/lab/test_hollow_schedulers.py
+++ b/tests/lab/test_hollow_schedulers.py
@@ -102,7 +102,7 @@
 
 def heard(bed: Bed, at: int) -> dict[str, TrafficRow]:
     """What one of the real schedulers exchanges with its peers while the fleet is settled."""
-    traffic = bed.daemons[at].site.traffic
+    traffic = bed.daemons[at].context.traffic
     return {kind: row for kind, row in traffic.to_rows().items() if kind not in CONNECTIONS}
 
 
@@ -136,7 +136,7 @@
         bed.run(MEASURED_S)
         told[hollow] = [(old, heard(bed, at)) for old, at in zip(before, watched, strict=True)]
         for daemon in bed.daemons:
-            assert f"ladderhub_members {REAL + count}.0" in daemon.metrics.page()[2].decode()
+            assert f"ladderhub_members {REAL + count}.0" in daemon.metrics.render_page()[2].decode()
         bed.close()
     for real, hollow_ones in zip(told[False], told[True], strict=True):
         every = set(real[1]) | set(hollow_ones[1])
--- a/tests/peers/test_peer_service.py
+++ b/tests/peers/test_peer_service.py
@@ -18,8 +18,8 @@
 from ladderhub.peers.wire import cluster_tag
 from ladderhub.server.daemon import Daemon
 from ladderhub.server.peers import PeerService, PeerStateFile
-from ladderhub.server.lasting import SpoolError
 from ladderhub.server.settings import SettingsError, check
+from ladderhub.server.spool import SpoolError
 from tests.world import World
 
 
@@ -45,7 +45,7 @@
     } | peers
     world.settings["schedulers"] = 2
     daemon = world.daemon(name)
-    service = next(part for part in daemon.parts if isinstance(part, PeerService))
+    service = next(part for part in daemon.components if isinstance(part, PeerService))
     return daemon, service
 
 
@@ -61,7 +61,7 @@
     world.until(lambda: names(one) == names(two) == ["alpha", "beta"])
     row = world.ask(lambda client, told: client.send(Request(n.STATUS_SERVER), told)).rows[0]
     assert (row.get("members"), row.get("membership")) == ("alpha, beta", "sure")
-    page = daemon.metrics.page()[2].decode()
+    page = daemon.metrics.render_page()[2].decode()
     assert "ladderhub_members 2.0" in page and "ladderhub_membership_sure 1.0" in page
     # The voter grants nothing for the first lease; then each scheduler holds half, and the module uses it.
     leases = (one.leases, two.leases)
@@ -99,7 +99,7 @@
                 sock.sendto(data, (host, int(port)))
         world.until(lambda: sum(row.count for row in reported) == 20)
     assert {row.kind for row in reported} == {"spoilt", "oversized"}
-    assert "ladderhub_peer_datagrams_spoilt 20.0" in daemon.metrics.page()[2].decode()
+    assert "ladderhub_peer_datagrams_spoilt 20.0" in daemon.metrics.render_page()[2].decode()
     assert not world.troubles
 
 
--- a/tests/peers/test_revisions.py
+++ b/tests/peers/test_revisions.py
@@ -23,7 +23,7 @@
 from ladderhub.revision.types import Outcome, Unchanged
 from ladderhub.server.daemon import Daemon
 from ladderhub.server.revisions import RevisionFileError, RevisionService
-from ladderhub.server.settings import check, policy_body
+from ladderhub.server.settings import check, encode_policy
 from tests.world import World
 
 
@@ -45,16 +45,18 @@
         world.settings["schedulers"] = len(names)
         world.daemon(name, wait=False)
     services = {name: service_of(world.daemons[name]) for name in names}
-    world.until(lambda: all(number(each) == 1 and not each._site.held for each in services.values()), 30)
+    world.until(
+        lambda: all(number(each) == 1 and not each._context.hold_reason for each in services.values()), 30
+    )
     return services
 
 
 def service_of(daemon: Daemon) -> RevisionService:
-    return next(part for part in daemon.parts if isinstance(part, RevisionService))
+    return next(part for part in daemon.components if isinstance(part, RevisionService))
 
 
 def number(service: RevisionService) -> int:
-    return service._site.revision.number
+    return service._context.revision.number
 
 
 def policy(world: World, aim: str) -> bytes:
@@ -62,7 +64,7 @@
     value = copy.deepcopy(world.settings)
     value["queues"]["web"]["aim"] = aim
     own = {"server": "x", "listen": "127.0.0.1:1", "directory": "127.0.0.1:2", "spool": "x"}
-    return policy_body(check(value | own, "test").file)
+    return encode_policy(check(value | own, "test").file)
 
 
 def manage(world: World, command: int, name: str = "", **attrs: str) -> Reply:
@@ -84,7 +86,7 @@
     world.until(lambda: all(number(each) == 2 for each in services.values()))
     for daemon in world.daemons.values():
         assert daemon.module.settings.classes[0].aim_ns in (700_000_000, 800_000_000)
-        queues = daemon.site.settings.queues
+        queues = daemon.context.settings.queues
         assert daemon.module.settings.classes[queues.index("web")].aim_ns == 700_000_000
     assert apply(world, body).get("outcome") == "unchanged"
     assert apply(world, policy(world, "600ms"), parent="1").get("outcome") == "stale parent"
@@ -105,13 +107,13 @@
     assert {row.name for row in others} == {"alpha", "beta"}
     assert all(row.get("head") in ("0", "1") for row in others)
     shown = manage(world, n.CMD_LIST, "current").rows[0]
-    assert shown.get("body").encode() == policy_body(world.daemons["alpha"].site.settings.file)
+    assert shown.get("body").encode() == encode_policy(world.daemons["alpha"].context.settings.file)
     unknown = manage(world, n.CMD_LIST, "7")
     assert unknown.code == n.BAD_ATTRIBUTE_VALUE and "one of 1 to 1 is meant" in unknown.text
     assert manage(world, n.CMD_DELETE, "1").code == n.BAD_ATTRIBUTE_VALUE
     server = world.ask(lambda client, on_reply: client.send(Request(n.STATUS_SERVER), on_reply)).rows[0]
     assert server.get("revision").startswith("1 ") and server.get("revision_state") == "in force"
-    page = world.daemons["gamma"].metrics.page()[2].decode()
+    page = world.daemons["gamma"].metrics.render_page()[2].decode()
     assert "ladderhub_revision_active 1.0" in page and "ladderhub_revision_age_seconds" in page
 
 
@@ -131,7 +133,7 @@
     world.settings["queues"]["web"]["aim"] = "900ms"
     service = service_of(world.daemon("alpha", wait=False))
     world.until(lambda: number(service) == 2)
-    queues = service._site.settings.file.queues
+    queues = service._context.settings.file.queues
     assert queues["web"].aim == "700ms"
     assert manage(world, n.CMD_LIST).rows[0].get("settings_file") == "differs"
 
@@ -152,7 +154,7 @@
     start(world, ["alpha"])
     daemon = world.daemons["alpha"]
     world.until(lambda: len(daemon.nodes.entries) == 1)
-    daemon.site.hold("held by this test")
+    daemon.context.hold("held by this test")
     handled: list[api.Event] = []
     handle = daemon.module.handle
 
@@ -162,10 +164,10 @@
 
     monkeypatch.setattr(daemon.module, "handle", record_and_handle)
     job = world.submit("web")
-    daemon.site.tell_module(api.TimerFired(0))
+    daemon.context.tell_module(api.TimerFired(0))
     world.run_for(200_000_000)
     assert not handled and "held by this test" in world.row(job).get("comment")
-    daemon.site.resume()
+    daemon.context.resume()
     assert isinstance(handled[0], api.TimerFired)
     world.until(lambda: world.row(job).get("placement") == "placed")
 
@@ -177,7 +179,7 @@
     hold_reasons: list[str] = []
     monkeypatch.setattr(service, "hold", hold_reasons.append)
     monkeypatch.setattr(service.revisions, "_last_event_ns", world.loop.now_ns() - 9_000_000_000)
-    service._site.tell_owner(own.TimerFired(1))
+    service._context.tell_owner(own.TimerFired(1))
     assert hold_reasons and "stood still" in hold_reasons[0]
 
 
--- a/tests/server/test_policy.py
+++ b/tests/server/test_policy.py
@@ -10,17 +10,17 @@
 import pytest
 
 from ladderhub.lab.fleet import SETTINGS
-from ladderhub.server.settings import Loaded, SettingsError, check, policy_body, policy_difference
+from ladderhub.server.settings import LoadedSettings, SettingsError, check, diff_policies, encode_policy
 
 OWN = {"server": "alpha", "listen": "127.0.0.1:1", "directory": "127.0.0.1:2", "spool": "spool"}
 
 
-def loaded(**own: Any) -> Loaded:
+def loaded(**own: Any) -> LoadedSettings:
     return check(copy.deepcopy(SETTINGS) | OWN | own, "file")
 
 
-def edited(settings: Loaded, edit: Callable[[dict[str, Any]], None]) -> bytes:
-    value = json.loads(policy_body(settings.file))
+def edited(settings: LoadedSettings, edit: Callable[[dict[str, Any]], None]) -> bytes:
+    value = json.loads(encode_policy(settings.file))
     edit(value)
     return json.dumps(value).encode()
 
@@ -35,11 +35,11 @@
     given["queues"] = dict(reversed(given["queues"].items()))
     given["nodes"] = dict(reversed(given["nodes"].items()))
     other = check(given | {"server": "beta", "spool": "elsewhere", "seed": 9, "schedulers": 3}, "file")
-    body = policy_body(loaded().file)
-    assert policy_body(other.file) == body
+    body = encode_policy(loaded().file)
+    assert encode_policy(other.file) == body
     fields = set(json.loads(body))
     assert fields.isdisjoint({*OWN, "schedulers", "ordinal", "peers", "zone", "seed", "log", "most_jobs"})
-    assert policy_body(loaded().with_policy(body, "revision 1").file) == body
+    assert encode_policy(loaded().with_policy(body, "revision 1").file) == body
 
 
 def test_names_keep_their_index_and_what_vanished_is_closed() -> None:
@@ -64,7 +64,7 @@
     assert second.module.classes[mail] == first.module.classes[mail]
     assert second.owner.queues[mail] == first.owner.queues[mail]
     assert second.owner.queues[new].limit_ns == 9_000_000_000 and second.default_memory[new] == 3.0
-    third = second.with_policy(policy_body(first.file), "revision 3")
+    third = second.with_policy(encode_policy(first.file), "revision 3")
     assert third.queues.all == second.queues.all and third.queues.is_open("mail")
     assert (third.file.server, third.file.spool) == ("alpha", "spool")
 
@@ -111,7 +111,7 @@
     def window(span: str) -> bytes:
         return edited(first, lambda value: value["nodes"]["cold"].update(window=span))
 
-    assert first.with_policy(window("1s"), "revision 2").lease_rest_ns == 2_000_000_000
+    assert first.with_policy(window("1s"), "revision 2").lease_cooldown_ns == 2_000_000_000
     with pytest.raises(SettingsError, match=r"nodes.cold.window: found '3s'; at most 2000ms"):
         first.with_policy(window("1s"), "revision 2").with_policy(window("3s"), "revision 3")
     assert loaded().with_policy(window("3s"), "revision 2").module.cold_window_ns == 3_000_000_000
@@ -128,7 +128,7 @@
         value["default_queue"] = "new"
 
     second = first.with_policy(edited(first, edit), "revision 2")
-    assert policy_difference(policy_body(first.file), policy_body(second.file)) == [
+    assert diff_policies(encode_policy(first.file), encode_policy(second.file)) == [
         "default_queue web -> new",
         "nodes.cold.safe_offers 24.0 -> 12.0",
         "queue mail: removed",
@@ -136,4 +136,4 @@
         'queue web: limit 20s -> 9s, spread {"most":6,"over":"rack"} -> none',
         "tenant south: removed",
     ]
-    assert policy_difference(policy_body(first.file), policy_body(first.file)) == []
+    assert diff_policies(encode_policy(first.file), encode_policy(first.file)) == []
--- a/tests/server/test_settings_change.py
+++ b/tests/server/test_settings_change.py
@@ -20,7 +20,7 @@
 from ladderhub.lab.day import audit_rules
 from ladderhub.pbs import names as n
 from ladderhub.pbs.batch import Request, Row
-from ladderhub.server.settings import policy_body
+from ladderhub.server.settings import encode_policy
 from tests.test_services import declare
 from tests.world import S, World
 
@@ -45,12 +45,12 @@
 
 
 def change(world: World, edit: Edit, number: int = 2) -> None:
-    site = world.daemons["alpha"].site
-    value = json.loads(policy_body(site.settings.file))
+    context = world.daemons["alpha"].context
+    value = json.loads(encode_policy(context.settings.file))
     edit(value)
-    loaded = site.settings.with_policy(json.dumps(value).encode(), f"revision {number}")
-    site.change_settings(loaded, number, bytes([number]))
-    assert site.revision.number == number and site.settings is loaded
+    loaded = context.settings.with_policy(json.dumps(value).encode(), f"revision {number}")
+    context.change_settings(loaded, number, bytes([number]))
+    assert context.revision.number == number and context.settings is loaded
 
 
 def refused(world: World, queue: str, account: str = "north", cpus: float = 1.0) -> str:
@@ -120,7 +120,7 @@
 def test_log_rows_of_decisions_bear_the_revision_they_were_made_by(make: Make) -> None:
     world = make(1)
     capture = LogCapture()
-    world.daemons["alpha"].site.log = structlog.wrap_logger(structlog.ReturnLogger(), processors=[capture])
+    world.daemons["alpha"].context.log = structlog.wrap_logger(structlog.ReturnLogger(), processors=[capture])
     world.wait(world.submit("web", cpus=WHOLE, life_s=60), "R")
     change(world, lambda value: value["nodes"].update(admit_cores=4.0))  # more than the node itself admits
     world.wait_answer(world.submit("web", cpus=WHOLE), "refused")
@@ -160,22 +160,22 @@
     world.crash(node)
     # The later one was taken as safe and is placed anew; nobody can say whether the first one runs.
     world.until(lambda: world.row(second).get("exec_host").partition("/")[0] not in ("", node), 40)
-    site = world.daemons["alpha"].site
-    state, why = site.owner.get_state(site.jobs.by_id[first].number)
+    context = world.daemons["alpha"].context
+    state, why = context.owner.get_state(context.jobs.by_id[first].number)
     assert (state, world.row(first).get("run_count")) == ("running", "1") and "is not known" in why
 
 
 def test_jobs_that_are_held_back_wait_with_the_reason_until_it_is_over(make: Make) -> None:
     world = make(1, limit="60s")
-    site = world.daemons["alpha"].site
-    site.hold("catches up with the fleet's configuration")
+    context = world.daemons["alpha"].context
+    context.hold("catches up with the fleet's configuration")
     job, cancelled = world.submit("web"), world.submit("web")
     row = world.row(job)
     assert (row.get("job_state"), row.get("run_count")) == ("Q", "0")
     assert row.get("comment") == "catches up with the fleet's configuration"
     assert "before it ran" in world.delete(cancelled).text
     change(world, lambda value: value["nodes"].update(most_attempts=4))
-    site.resume()
+    context.resume()
     assert world.wait(job, "R").get("comment") != "catches up with the fleet's configuration"
 
 
--- a/tests/test_policy_command.py
+++ b/tests/test_policy_command.py
@@ -29,8 +29,10 @@
             "listen": place, "seeds": places, "period": "300ms", "lease": "1200ms", "electors": places,
         }}  # fmt: skip
         made.daemon(name, wait=False)
-    sites = [daemon.site for daemon in made.daemons.values()]
-    made.until(lambda: all(site.revision.number == 1 and not site.held for site in sites), 30)
+    contexts = [daemon.context for daemon in made.daemons.values()]
+    made.until(
+        lambda: all(context.revision.number == 1 and not context.hold_reason for context in contexts), 30
+    )
     yield made
     made.close()
 
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -124,7 +124,7 @@
     world.until(lambda: int(row(world, "invoicing").get("new")) >= 3)
     world.daemons["alpha"].close()  # without a word; what it had asked for and not placed goes with it
     old = world.daemons["alpha"]
-    old.site.stopping = True
+    old.context.stopping = True
     world.run_for(300 * MS)
     daemon = world.daemon("alpha")
     world.until(lambda: daemon.services.settled)
--- a/tests/usage/test_log.py
+++ b/tests/usage/test_log.py
@@ -64,7 +64,7 @@
     }  # fmt: skip
     loop = Loop()
     daemon = Daemon(loop, check(value, "test"), set_up_log("json", "info"))
-    daemon.site.tell_owner(cast(Any, "no event"))
+    daemon.context.tell_owner(cast(Any, "no event"))
     row = json.loads(capfdbinary.readouterr().err.splitlines()[-1])
     assert (row["event"], row["told"], daemon.metrics.troubles) == ("decision", "'no event'", 1)
     daemon.close()
--- a/tests/usage/test_traffic.py
+++ b/tests/usage/test_traffic.py
@@ -87,8 +87,8 @@
     for at in range(5):
         world.submit(service=f"service-{at}")
     world.until(lambda: sum(record.state == "R" for record in daemon.jobs.by_id.values()) == 5)
-    world.until(lambda: not daemon.site.links.open)
-    ours = daemon.site.traffic
+    world.until(lambda: not daemon.context.links.open)
+    ours = daemon.context.traffic
     agents = list(world.agents.values())
 
     def of_nodes(name: str, kind: str = "scheduler") -> int:
@@ -115,14 +115,14 @@
     assert node.messages_out == 5 * 3 + len(agents)
     assert ours.of("client").messages_in >= 5 * 3
     assert directory.of("scheduler").messages_in == ours.of("directory").messages_out == 1
-    page = daemon.metrics.page()[2].decode()
+    page = daemon.metrics.render_page()[2].decode()
     assert f'ladderhub_messages_total{{direction="out",kind="node"}} {float(node.messages_out)}' in page
     assert f'ladderhub_bytes_total{{direction="out",kind="node"}} {float(node.bytes_out)}' in page
 
 
 def test_the_metrics_page_gives_processor_time_by_cause(world: World) -> None:
     daemon = world.daemon()
-    page = daemon.metrics.page()[2].decode()
+    page = daemon.metrics.render_page()[2].decode()
     rows = [line for line in page.splitlines() if line.startswith("ladderhub_processor_seconds_total{")]
     causes = {row.partition('cause="')[2].partition('"')[0] for row in rows}
     assert causes == {"jobs", "lists", "peers", "configuration", "log_metrics", "other"}
