--- a/tests/platform/soak_service.py
+++ b/tests/platform/soak_service.py
@@ -10,6 +10,7 @@
 import signal
 import tempfile
 from collections import deque
+from collections.abc import Callable
 from dataclasses import replace
 from pathlib import Path
 
@@ -122,18 +123,26 @@
         """SIGHUP, with the file as it was, with the journal service elsewhere, or half written at first."""
         assert self.journal is not None
         kind = self.more.choice(("same", "moved", "half"))
-        if not self.bed.ready():
-            kind = "same"  # a successor reads the file, which is whole as it starts
         path = self.bed.config_path
+        write: Callable[[str], int] = path.write_text
+        if not self.bed.ready():
+            kind, write = "same", self._replace_config  # a starting successor reads the file once
         whole = path.read_text()
         if kind == "moved":
             moved = json.loads(whole) | {"journal": self.more.choice(self.journal.addresses)}
             whole = json.dumps(moved)
-        path.write_text(whole[: len(whole) // 2] if kind == "half" else whole)
+        write(whole[: len(whole) // 2] if kind == "half" else whole)
         self.note(f"SIGHUP, file {kind}")
         self.bed.child.send_signal(signal.SIGHUP)
         self._turn(self.more.randrange(1, 60))
-        path.write_text(whole)
+        write(whole)
+
+    def _replace_config(self, text: str) -> int:
+        """Write the file in one step: `write_text` truncates it first, and a start on an empty file fails."""
+        fresh = self.bed.config_path.with_suffix(".new")
+        written = fresh.write_text(text)
+        fresh.replace(self.bed.config_path)
+        return written
 
     def _series(self) -> None:
         """Signals one after the other, with pauses of the process between them."""
