--- a/ladderhub/server/__init__.py
+++ b/ladderhub/server/__init__.py
@@ -1,21 +1,21 @@
 """The scheduler daemon: sockets, jobs and settings around the decisions.
 
-Tells `decide` and `owner` what happened and carries out what they say; decides nothing of its own.  Imports
-`loop`, `usage`, `pbs`, `owner`, `directory.wire`, `decide` and `interface`; must not import `node`, `lab`,
-`commands`.
+Passes events to `decide` and `owner` and executes the actions they return; makes no decisions itself.
+Imports `loop`, `usage`, `pbs`, `owner`, `directory.wire`, `decide` and `interface`; must not import `node`,
+`lab`, `commands`.
 
-One room for one concern, each importing only those above it:
+Each module has one concern and imports only modules listed above it:
 
-    jobs, board, metrics, settings/    state, the queue of events, counters, checked settings
-    usagemetrics                       what the process spends, on the page of metrics
-    offer, nodelinks, runs, nodelist   one offer's steps, connections to nodes, what is out, the directory
-    context                               what all rooms share, and `Part`: what lives as long as the daemon
-    placing, words, owning             carry out the two decision modules; what nodes say of runs
-    peers                              the other schedulers, where the settings name peers
-    revisions                          the configuration as revisions, where some of the peers vote
-    intake, members                    jobs from people; the node list and adoption
-    kept_names                         queues and kinds that the file has not, over a restart
-    door                               client connections, and the table of requests that rooms join
-    submitting, jobrequests, status, operating, policyrequests    what each request does
-    daemon                             puts the rooms together; start and clean stop
+    spool, jobs, metrics, settings/    durable files, state of jobs, counters, checked settings
+    usagemetrics                       processor time and traffic of the process, as metrics
+    offer, nodelinks, runs, nodelist   steps of an offer, connections to nodes, open runs, the directory
+    context                            state that all modules share, and the `Component` protocol
+    placing, words, owning             execute the decisions of both modules; reports of nodes on runs
+    peers                              membership and leases, if the settings name peers
+    revisions                          revisions of the configuration, if some of the peers vote
+    intake, members                    submitted jobs; the node list and adoption of running jobs
+    kept_names                         queues and kinds of an earlier policy, kept over a restart
+    clientlistener                     client connections and the table of request handlers
+    submitting, jobrequests, status, operatorrequests, policyrequests    the request handlers
+    daemon                             builds the components; start and clean stop
 """
--- a/ladderhub/server/clientlistener.py
+++ b/ladderhub/server/clientlistener.py
@@ -1,7 +1,7 @@
-"""The clients' door: batch connections of people and nodes, and which room serves which request.
+"""Batch connections of users and nodes, and the table of request handlers.
 
-`ClientListener.handlers` holds the requests that are served; rooms join it.  Bytes that are no protocol get
-one error reply and a closed connection.
+Components register handlers in `ClientListener.handlers`.  Bytes that are not of the protocol get one error
+reply, then the connection is closed.
 """
 
 from __future__ import annotations
@@ -20,31 +20,29 @@
 from ladderhub.usage.traffic import CLIENT, NODE, TrafficCount
 
 ReplyCallback = Callable[[Reply | Iterator[bytes]], None]
-RequestHandler = Callable[
-    [ServerConnection, Request, ReplyCallback], None
-]  # calls the answer exactly once, now or later
-PENDING_MOST = 1000
-OUT_MOST = 50  # replies that wait to leave, above which no further request is read
+RequestHandler = Callable[[ServerConnection, Request, ReplyCallback], None]  # calls back exactly once
+MAX_PENDING_REQUESTS = 1000
+MAX_QUEUED_REPLIES = 50  # replies not yet written, above which no further request is read
 
 
 class ClientListener:
-    """The part of the daemon that holds all client connections."""
+    """Accepts client connections and passes their requests to the registered handlers."""
 
     def __init__(self, context: DaemonContext) -> None:
         self.context = context
-        self.clients: set[_Client] = set()
-        self.handlers: dict[int, RequestHandler] = {n.CONNECT: _connect}
+        self.clients: set[_ClientConnection] = set()
+        self.handlers: dict[int, RequestHandler] = {n.CONNECT: _answer_connect}
         self.listener: Listener | None = None
         context.metrics.add_gauge("connections", "Clients connected", lambda: len(self.clients))
 
     def register(self, handlers: dict[int, RequestHandler]) -> None:
-        """A room serves these requests; ValueError where another one does already."""
+        """Register handlers by request type; ValueError if a type has one already."""
         for kind in handlers:
             if kind in self.handlers:
                 raise ValueError(f"{n.REQUESTS[kind]} is served already")
         self.handlers |= handlers
 
-    # --- as a part ------------------------------------------------------------------------------------------
+    # --- Component ------------------------------------------------------------------------------------------
 
     def start(self) -> None:
         with self.context.processor.section(Cause.JOBS):
@@ -59,8 +57,8 @@
     def count_unsettled(self) -> int:
         return 0
 
-    def leave(self) -> None:
-        """Every client is let go once it has its replies."""
+    def close_clients(self) -> None:
+        """Close each client connection once its replies are written."""
         for client in list(self.clients):
             client.stream.close()
 
@@ -69,103 +67,104 @@
             self.listener.close()
 
     def accept(self, sock: socket.socket) -> None:
+        """Serve a new connection, or close it at `most_connections`."""
         if len(self.clients) >= self.context.settings.file.most_connections:
             self.context.metrics.rejected += 1
             sock.close()
             return
-        self.clients.add(_Client(self, sock))
+        self.clients.add(_ClientConnection(self, sock))
 
 
-def _connect(connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
+def _answer_connect(connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
     answer(Reply())
 
 
-class _Client:
-    """One connection."""
+class _ClientConnection:
+    """One connection of a client."""
 
-    def __init__(self, door: ClientListener, sock: socket.socket) -> None:
-        self._door = door
+    def __init__(self, listener: ClientListener, sock: socket.socket) -> None:
+        self._listener = listener
         self.connection = ServerConnection()
-        self._out: deque[bytes | Iterator[bytes]] = deque()
-        self._pumping = self._last = False
-        # Nodes report over the same door: the first request tells which of the two this connection is.
+        self._queued_replies: deque[bytes | Iterator[bytes]] = deque()
+        self._write_scheduled = self._close_when_written = False
+        # Nodes report over the same listener; the first request tells clients and nodes apart.
         self._count: TrafficCount | None = None
-        self.stream = CountedStream(door.context.loop, sock, self, door.context.traffic.of(CLIENT))
-        self.stream.on_drained = self._pump
+        self.stream = CountedStream(listener.context.loop, sock, self, listener.context.traffic.of(CLIENT))
+        self.stream.on_drained = self._write_replies
 
     def on_data(self, stream: Stream, data: bytes) -> None:
         exchanges = self.connection.receive(data)
         self._count_requests(exchanges)
         for exchange in exchanges:
-            self._serve(exchange)
+            self._handle(exchange)
         if self.connection.trouble is not None:
-            self._door.context.metrics.rejected += 1
-            self._leave(self.connection.ready())
-        elif self.connection.waiting() > PENDING_MOST:
+            self._listener.context.metrics.rejected += 1
+            self._queue_replies(self.connection.ready())
+        elif self.connection.waiting() > MAX_PENDING_REQUESTS:
             stream.abort(BufferError("too many requests without an answer"))
 
     def on_closed(self, stream: Stream, fault: BaseException | None) -> None:
-        self._door.clients.discard(self)
+        self._listener.clients.discard(self)
 
     def _count_requests(self, exchanges: list[Exchange]) -> None:
         if self._count is None and exchanges:
             of_node = exchanges[0].request.user.startswith(n.NODE_USER)
-            self._count = self.stream.count = self._door.context.traffic.of(NODE if of_node else CLIENT)
+            self._count = self.stream.count = self._listener.context.traffic.of(NODE if of_node else CLIENT)
         self.stream.count.messages_in += len(exchanges)
 
-    def _serve(self, exchange: Exchange) -> None:
+    def _handle(self, exchange: Exchange) -> None:
         request, connection = exchange.request, self.connection
         if request.type == n.DISCONNECT:
-            self._leave(connection.disconnect(exchange))
+            self._queue_replies(connection.disconnect(exchange))
             return
-        serve = self._door.handlers.get(request.type)
-        if serve is None or not connection.may(request):
-            words = n.REQUESTS.get(request.type, str(request.type))
-            code = n.UNKNOWN_REQUEST if serve is None else n.PROTOCOL_ERROR
-            self._answer(exchange, refusal(code, f"{words} has no place here"))
+        handler = self._listener.handlers.get(request.type)
+        if handler is None or not connection.may(request):
+            name = n.REQUESTS.get(request.type, str(request.type))
+            code = n.UNKNOWN_REQUEST if handler is None else n.PROTOCOL_ERROR
+            self._answer(exchange, refusal(code, f"{name} has no place here"))
             return
-        serve(connection, request, lambda reply: self._answer(exchange, reply))
+        handler(connection, request, lambda reply: self._answer(exchange, reply))
 
     def _answer(self, exchange: Exchange, reply: Reply | Iterator[bytes]) -> None:
         if not isinstance(reply, Reply) or reply.code == 0:
             self.connection.granted(exchange.request)
         else:
-            self._door.context.metrics.rejected += 1
-        self._leave(self.connection.answer(exchange, reply))
+            self._listener.context.metrics.rejected += 1
+        self._queue_replies(self.connection.answer(exchange, reply))
 
-    def _leave(self, ready: list[Exchange]) -> None:
-        """These replies may leave now."""
+    def _queue_replies(self, ready: list[Exchange]) -> None:
+        """Queue the replies of these exchanges and write what the stream takes."""
         if self.stream.closed:
             return
         for exchange in ready:
             if exchange.reply:
                 self.stream.count.messages_out += 1
-                self._out.append(exchange.reply)
-            self._last = self._last or exchange.last
-        self._pump()
-
-    def _pump(self) -> None:
-        """Write replies in order.  A long one goes piece by piece: others have their turn between two pieces,
-        and a client that reads slowly is waited for."""
-        self.stream.pause(self._last or len(self._out) > OUT_MOST)
-        while self._out and not self.stream.closed and not self.stream.backed_up():
-            reply = self._out[0]
+                self._queued_replies.append(exchange.reply)
+            self._close_when_written = self._close_when_written or exchange.last
+        self._write_replies()
+
+    def _write_replies(self) -> None:
+        """Write replies in order.  A long reply is written in pieces, so that the loop serves others between
+        two pieces and a slow reader is waited for."""
+        self.stream.pause(self._close_when_written or len(self._queued_replies) > MAX_QUEUED_REPLIES)
+        while self._queued_replies and not self.stream.closed and not self.stream.backed_up():
+            reply = self._queued_replies[0]
             if isinstance(reply, bytes):
                 self.stream.write(reply)
-                self._out.popleft()
+                self._queued_replies.popleft()
                 continue
             piece = next(reply, None)
             if piece is None:
-                self._out.popleft()
+                self._queued_replies.popleft()
                 continue
             self.stream.write(piece)
-            if not self._pumping:
-                self._pumping = True
-                self._door.context.loop.call_soon(self._pump_on)
+            if not self._write_scheduled:
+                self._write_scheduled = True
+                self._listener.context.loop.call_soon(self._continue_writing)
             return
-        if self._last and not self._out:
+        if self._close_when_written and not self._queued_replies:
             self.stream.close()
 
-    def _pump_on(self) -> None:
-        self._pumping = False
-        self._pump()
+    def _continue_writing(self) -> None:
+        self._write_scheduled = False
+        self._write_replies()
--- a/ladderhub/server/context.py
+++ b/ladderhub/server/context.py
@@ -1,7 +1,7 @@
-"""What the rooms of one daemon share: means, state, and the two calls by which decisions are asked for.
+"""Shared state of the components of one daemon, and the two calls that pass events to the decision modules.
 
-A room is handed a `DaemonContext` and the neighbours it calls.  A context knows of no room: rooms join its
-board, its metrics and its lists.
+A component receives a `DaemonContext` and the components that it calls.  The context does not know the
+components: they register with its dispatcher, its metrics and its callback lists.
 """
 
 from __future__ import annotations
@@ -33,44 +33,44 @@
 
 @dataclass(frozen=True, slots=True)
 class PolicyRevision:
-    """Which policy is in force."""
+    """Number and digest of a revision of the policy."""
 
     number: int
     digest: bytes
 
 
 class Component(Protocol):
-    """What lives as long as the daemon; `Daemon.parts` holds them in the order of their start."""
+    """A component that the daemon starts and stops; `Daemon.components` lists them in start order."""
 
     def start(self) -> None:
-        """Begin; OSError where that can't be done."""
+        """Start; raises OSError on failure."""
 
     def stop(self, now: bool) -> None:
-        """Take on nothing more and settle what was taken; `now`: no more time is left."""
+        """Accept no more work and settle what was accepted; `now`: no time is left to wait."""
 
     def count_unsettled(self) -> int:
-        """How much of what was taken is not settled."""
+        """Return how many accepted items are not settled."""
 
     def close(self) -> None:
-        """All is over."""
+        """Release all resources at once."""
 
 
 class DaemonContext:
-    """One daemon's shared state.
+    """Shared state of one daemon.
 
-    `on_finished` hears of each job that is over, `on_placed` of each that runs, `on_unplaced` of each that
-    lost its place and is placed again, `on_node_changed` of each node that is gone (False) or back (True),
-    also where it began anew without being missed, `on_finished_job_report` of the number of each finished job
-    that a node spoke of, `on_settings_changed` of settings that have come into force.  `before_event` is
-    called before decisions on jobs hear of anything: what it tells them is heard first."""
+    Callbacks: `on_finished` for each finished job; `on_placed` for each job that starts to run; `on_unplaced`
+    for each job that lost its place and is placed again; `on_node_changed` for each node that is gone (False)
+    or back (True), also if it restarted unnoticed; `on_finished_job_report` with the number of each finished
+    job that a node reported on; `on_settings_changed` after settings took effect.  `before_event` is called
+    before each event for the decisions on jobs, so that events it passes on are handled first."""
 
     def __init__(self, loop: Loop, settings: LoadedSettings, log: Any) -> None:
         self.loop, self.settings, self.log = loop, settings, log
         self.name = settings.file.server
         self.revision = PolicyRevision(1, hashlib.sha256(encode_policy(settings.file)).digest())
-        self.hold_reason = ""  # why jobs are taken and not yet asked for
+        self.hold_reason = ""  # why accepted jobs are not yet requested; "" if they are
         self._changes: deque[tuple[LoadedSettings, PolicyRevision]] = deque()
-        self._held_back: list[api.Event] = []
+        self._deferred_events: list[api.Event] = []
         self.before_event: Callable[[], None] | None = None
         self.folder = Path(settings.file.spool)
         self.lock = SpoolLock(self.folder)
@@ -82,7 +82,7 @@
         self.links = NodeLinks(loop, settings.connect_ns, self.traffic.of(NODE))
         self.module = Scheduler(settings.module, settings.file.seed)
         self.owner = Owner(settings.owner, settings.file.seed)
-        self.dispatcher = EventDispatcher(loop.now_ns, self._fault)
+        self.dispatcher = EventDispatcher(loop.now_ns, self._log_fault)
         self.stopping = False
         self.advertise = ""
         self.on_finished: list[Callable[[JobRecord], None]] = []
@@ -91,79 +91,80 @@
         self.on_node_changed: list[Callable[[str, bool], None]] = []
         self.on_finished_job_report: list[Callable[[int], None]] = []
         self.on_settings_changed: list[Callable[[], None]] = []
-        self.status_sources: list[Callable[[], list[Attr]]] = []  # of rooms that tell of themselves there
-        self._module: Callable[[api.Event], None] = _nobody
-        self._owner: Callable[[own.Event], None] = _nobody
+        self.status_sources: list[Callable[[], list[Attr]]] = []  # more rows of the server's status
+        self._dispatch_to_module: Callable[[api.Event], None] = _fail_unregistered
+        self._dispatch_to_owner: Callable[[own.Event], None] = _fail_unregistered
 
     def register_executors(self, module: ActionExecutor, owner: ActionExecutor) -> None:
-        """These carry out what the two modules decide."""
-        self._module = self.dispatcher.register(self.module, module)
-        self._owner = self.dispatcher.register(self.owner, owner)
+        """Register the executors of the two modules' actions."""
+        self._dispatch_to_module = self.dispatcher.register(self.module, module)
+        self._dispatch_to_owner = self.dispatcher.register(self.owner, owner)
 
     def tell_module(self, event: api.Event) -> None:
-        self._before_event()
+        """Pass an event to the decision module; during a hold it is deferred until `resume`."""
+        self._run_before_event()
         if self.hold_reason:
-            self._held_back.append(event)
+            self._deferred_events.append(event)
         else:
-            self._module(event)
+            self._dispatch_to_module(event)
 
     def tell_owner(self, event: own.Event) -> None:
-        self._before_event()
-        self._owner(event)
+        """Pass an event to the owner's decisions."""
+        self._run_before_event()
+        self._dispatch_to_owner(event)
 
-    def _before_event(self) -> None:
+    def _run_before_event(self) -> None:
         if self.before_event is not None:
             self.before_event()
 
-    # --- settings that change -------------------------------------------------------------------------------
+    # --- change of settings ---------------------------------------------------------------------------------
 
     def get_newest_settings(self) -> LoadedSettings:
-        """The last that were handed over, in force by now or not."""
+        """Return the settings of the latest change, in effect or not."""
         return self._changes[-1][0] if self._changes else self.settings
 
     def change_settings(self, loaded: LoadedSettings, number: int, digest: bytes) -> None:
-        """Go on by other settings, made by `LoadedSettings.with_policy` of those before.
+        """Change to settings made from the previous ones by `LoadedSettings.with_policy`.
 
-        All of it happens in one turn of the board, and at once where nothing is being decided: what was told
-        before is decided by the old settings and bears their revision, all after it by the new ones."""
+        Both modules change in one batch of the dispatcher, immediately if no event is being handled.  Earlier
+        events are handled with the old settings and logged with their revision, later ones with the new."""
         self._changes.append((loaded, PolicyRevision(number, digest)))
         with self.dispatcher.batch():
-            self._module(api.SettingsChanged(loaded.module))
-            self._owner(own.SettingsChanged(loaded.owner))
+            self._dispatch_to_module(api.SettingsChanged(loaded.module))
+            self._dispatch_to_owner(own.SettingsChanged(loaded.owner))
 
     def apply_settings(self, event: api.SettingsChanged) -> None:
-        """The decision module has taken them: so do all rooms."""
+        """Put settings in effect for all components once the decision module has handled the change."""
         loaded, revision = self._changes.popleft()
         while loaded.module is not event.settings:
             loaded, revision = self._changes.popleft()
         self.settings, self.revision = loaded, revision
         self.links.connect_ns, self.jobs.keep_ns = loaded.connect_ns, loaded.keep_finished_ns
         self.log.info("policy", revision=revision.number, digest=revision.digest.hex())
-        for told in self.on_settings_changed:
-            told()
+        for callback in self.on_settings_changed:
+            callback()
 
     def hold(self, reason: str) -> None:
-        """From now on jobs are taken and wait, with this reason.
+        """Let accepted jobs wait from now on, with this reason.
 
-        The decision module hears of nothing but changes of settings until `resume`, as if it stood still.
-
-        Danger: a task that it had been asked for before is sent anew, by settings that may be old."""
+        Until `resume` the decision module receives changes of settings only.  Other events could make it
+        offer earlier tasks again under settings that may be outdated."""
         self.hold_reason = reason
-        self._owner(own.RequestsPaused(reason))
+        self._dispatch_to_owner(own.RequestsPaused(reason))
 
     def resume(self) -> None:
-        """The decision module hears of what came meanwhile, and jobs that were held back are asked for."""
+        """Pass the deferred events to the decision module, then request the waiting jobs."""
         self.hold_reason = ""
-        held_back, self._held_back = self._held_back, []
+        deferred, self._deferred_events = self._deferred_events, []
         with self.dispatcher.batch():
-            for event in held_back:
-                self._module(event)
-            self._owner(own.RequestsResumed())
+            for event in deferred:
+                self._dispatch_to_module(event)
+            self._dispatch_to_owner(own.RequestsResumed())
 
-    def _fault(self, event: Any, fault: Exception) -> None:
+    def _log_fault(self, event: Any, fault: Exception) -> None:
         self.metrics.troubles += 1
         self.log.error("decision", told=repr(event), exc_info=fault)
 
 
-def _nobody(event: Any) -> None:
-    raise RuntimeError("no carrier has joined yet")
+def _fail_unregistered(event: Any) -> None:
+    raise RuntimeError("no action executor is registered yet")
--- a/ladderhub/server/daemon.py
+++ b/ladderhub/server/daemon.py
@@ -1,7 +1,7 @@
-"""The daemon: its rooms put together, its start and its end.
+"""The daemon: builds, starts and stops its components.
 
-Each room is handed what it needs and knows nothing of the daemon.  How a further subsystem joins them is told
-in `docs/design.md`, "How a subsystem is plugged in".
+Each component receives what it needs and does not know the daemon.  `docs/design.md`, "How a subsystem is
+plugged in", describes how to add one.
 """
 
 from __future__ import annotations
@@ -30,13 +30,13 @@
 from ladderhub.server.words import Words
 
 MS, S = 1_000_000, 1_000_000_000
-SWEEP_NS = 1 * S
-SETTLED_LOOK_NS = 50 * MS
-LEAVE_NS = 100 * MS
+SWEEP_INTERVAL_NS = 1 * S
+SETTLED_CHECK_INTERVAL_NS = 50 * MS
+CLOSE_DELAY_NS = 100 * MS
 
 
 class Daemon:
-    """One scheduler.  `start` opens the doors; `shut_down` settles what was taken and then calls `on_end`."""
+    """One scheduler.  `start` opens its listeners; `shut_down` settles accepted jobs, then calls `on_end`."""
 
     def __init__(self, loop: Loop, settings: LoadedSettings, log: Any = None) -> None:
         self.loop = loop
@@ -60,22 +60,22 @@
         self.services = Services(context, intake, self.members)
         KeptNames(context, self.services.queues, self.members.kinds)
         self.client_listener = ClientListener(context)
-        operating = OperatorRequests(context, self.members, self.shut_down)
-        operating.register(n.OBJ_SERVICE, self.services.serve)
-        for room in (
+        operator_requests = OperatorRequests(context, self.members, self.shut_down)
+        operator_requests.register(n.OBJ_SERVICE, self.services.serve)
+        for requests in (
             Submitting(context, intake), JobRequests(context, intake, words),
-            Status(context, self.members), operating,
+            Status(context, self.members), operator_requests,
         ):  # fmt: skip
-            self.client_listener.register(room.get_handlers())
-        # In the order of their start; the door opens first, since nodes are told its address, and services
-        # are known before nodes say what they run.
+            self.client_listener.register(requests.get_handlers())
+        # In start order.  The client listener is first, since nodes are told its address.  Services are
+        # loaded before nodes report what they run.
         self.components: list[Component] = [self.client_listener, self.services, self.members, owning]
         if settings.peers is not None:
-            self._add_peers(settings.peers, operating)
+            self._add_peers(settings.peers, operator_requests)
         self.on_end: Callable[[], None] | None = None
 
-    def _add_peers(self, settings: PeerSettings, operating: OperatorRequests) -> None:
-        """What is loaded only where there are peers, and only where some of them are voters."""
+    def _add_peers(self, settings: PeerSettings, operator_requests: OperatorRequests) -> None:
+        """Add membership, and revisions if some peers are voters; imported only when needed."""
         from ladderhub.server.peers import PeerService
 
         peers = PeerService(self.context, settings)
@@ -86,65 +86,66 @@
 
             revisions = RevisionService(self.context, peers)
             self.components.append(revisions)
-            operating.register(n.OBJ_POLICY, PolicyRequests(self.context, revisions).serve)
+            operator_requests.register(n.OBJ_POLICY, PolicyRequests(self.context, revisions).serve)
 
     @property
     def stopping(self) -> bool:
+        """Whether `shut_down` was called."""
         return self.context.stopping
 
     def start(self) -> None:
-        """Open the door and follow the directory; OSError where the address can't be had."""
-        for part in self.components:
-            part.start()
-        self.loop.call_later(SWEEP_NS, self._sweep)
+        """Start all components; raises OSError if an address can't be bound."""
+        for component in self.components:
+            component.start()
+        self.loop.call_later(SWEEP_INTERVAL_NS, self._sweep)
         self.log.info("ready", server=self.context.name, address=self.context.advertise)
 
     def _sweep(self) -> None:
         self.jobs.sweep(self.loop.now_ns())
-        self.loop.call_later(SWEEP_NS, self._sweep)
+        self.loop.call_later(SWEEP_INTERVAL_NS, self._sweep)
 
     def count_unsettled(self) -> int:
-        """How much of what was taken is not settled."""
-        return sum(part.count_unsettled() for part in self.components)
+        """Return how many accepted items of all components are not settled."""
+        return sum(component.count_unsettled() for component in self.components)
 
     def shut_down(self) -> None:
-        """Settle every job that was taken, within `stop_within`; then end.  A second call hastens."""
+        """Settle every accepted job within `stop_within`, then end.  A second call ends at once."""
         if self.context.stopping:
-            self._stop(now=True)
-            self._end()
+            self._stop_components(now=True)
+            self._finish()
             return
         self.context.stopping = True
         self.log.info("stopping", owed=self.count_unsettled())
-        self._stop(now=False)
-        self._look_settled(self.loop.now_ns() + self.context.settings.stop_within_ns)
+        self._stop_components(now=False)
+        self._check_settled(self.loop.now_ns() + self.context.settings.stop_within_ns)
 
-    def _stop(self, now: bool) -> None:
-        for part in self.components:
-            part.stop(now)
+    def _stop_components(self, now: bool) -> None:
+        for component in self.components:
+            component.stop(now)
 
-    def _look_settled(self, until_ns: int) -> None:
+    def _check_settled(self, until_ns: int) -> None:
         if self.count_unsettled() and self.loop.now_ns() < until_ns:
-            self.loop.call_later(SETTLED_LOOK_NS, self._look_settled, until_ns)
+            self.loop.call_later(SETTLED_CHECK_INTERVAL_NS, self._check_settled, until_ns)
             return
         if self.count_unsettled():
-            self._stop(now=True)
-        self._end()
+            self._stop_components(now=True)
+        self._finish()
 
-    def _end(self) -> None:
+    def _finish(self) -> None:
         if self.on_end is None:
             return
         done, self.on_end = self.on_end, None
         self.log.info("stopped", unsettled=self.count_unsettled())
-        self.client_listener.leave()
-        self.loop.call_later(LEAVE_NS, self._close, done)
+        self.client_listener.close_clients()
+        self.loop.call_later(CLOSE_DELAY_NS, self._close, done)
 
     def _close(self, done: Callable[[], None]) -> None:
         self.close()
         done()
 
     def close(self) -> None:
-        """Let go of every socket at once, without a word."""
-        for part in self.components:
-            part.close()
+        """Close every socket at once, without further messages."""
+        for component in self.components:
+            component.close()
         self.context.links.close()
         self.context.lock.close()
--- a/ladderhub/server/kept_names.py
+++ b/ladderhub/server/kept_names.py
@@ -1,9 +1,9 @@
-"""Queues and kinds of node that the policy has or had, and this process's own file has not.
+"""Queues and kinds of node that the policy has or had but this process's settings file lacks.
 
-A scheduler that starts anew knows its file before anybody tells it the policy of now.  What runs in a queue
-that came with a later policy would not be taken over then, and a service there could not be read.  So such
-queues and kinds are kept in the spool folder for the next life: as long as the policy has them, and after
-that as long as something of them is left.
+A restarted scheduler knows its settings file before it learns the current policy.  Without these names it
+could not adopt jobs that run in a queue of a later policy, nor read a service of such a queue.  They are
+therefore kept in the spool folder for the next life: while the policy has them, and then while jobs, services
+or nodes still use them.
 """
 
 from __future__ import annotations
@@ -29,8 +29,8 @@
 
 
 def with_kept_names(settings: LoadedSettings, folder: Path) -> LoadedSettings:
-    """The settings with the names that an earlier life kept, closed until a policy has them; `SpoolError`
-    where the file can't be used."""
+    """Return the settings with the names kept by an earlier life, closed until a policy has them;
+    `SpoolError` if the file can't be used."""
     path = folder / FILE_NAME
     try:
         kept: _Kept = msgspec.json.decode(path.read_bytes(), type=_Kept)
@@ -42,9 +42,9 @@
 
 
 class KeptNames:
-    """Writes the file as the policy changes.
+    """Writes the file when the policy changes.
 
-    `service_queues` and `node_kinds` tell in which queues services are and which kinds nodes have."""
+    `service_queues` returns the queues that have services, `node_kinds` the kinds of the listed nodes."""
 
     def __init__(
         self,
@@ -61,30 +61,30 @@
         context.on_settings_changed.append(self._write)
 
     def _write(self) -> None:
-        kept = self._kept()
+        kept = self._collect()
         if kept == self._written:
             return
         try:
             write_durably(self._context.folder / FILE_NAME, msgspec.json.encode(kept))
             self._written = kept
         except OSError:
-            self._context.log.error("names not kept", exc_info=True)  # the next change tries again
+            self._context.log.error("names not kept", exc_info=True)  # retried at the next change
 
-    def _kept(self) -> _Kept:
+    def _collect(self) -> _Kept:
         settings = self._context.settings
         used = self._service_queues()
         used |= {settings.queues.all[job.queue] for job in self._context.jobs.live.values()}
         queues = {
             name: settings.queues_by_index[settings.queues.index(name)]
-            for name in _needed(settings.queues, used, self._own_queues)
+            for name in _select_names(settings.queues, used, self._own_queues)
         }
         used = self._node_kinds() | {queue.kind for queue in queues.values()}
         kinds = {
             name: settings.kinds_by_index[settings.kinds.index(name)]
-            for name in _needed(settings.kinds, used, self._own_kinds)
+            for name in _select_names(settings.kinds, used, self._own_kinds)
         }
         return _Kept(queues, kinds)
 
 
-def _needed(table: NameTable, used: set[str], own: set[str]) -> list[str]:
+def _select_names(table: NameTable, used: set[str], own: set[str]) -> list[str]:
     return [name for name in table.all if name not in own and (table.is_open(name) or name in used)]
--- a/ladderhub/server/nodelist.py
+++ b/ladderhub/server/nodelist.py
@@ -1,4 +1,4 @@
-"""The scheduler's end of the directory: lists as they come, recalled after a restart, followed over cuts."""
+"""Client of the directory: follows the node list, reconnects, and reloads the last list after a restart."""
 
 from __future__ import annotations
 
@@ -16,19 +16,25 @@
 from ladderhub.usage.accounted import connect_counted
 from ladderhub.usage.traffic import TrafficCount
 
-CONNECT_NS = 1_000_000_000
-RETRY_NS = (200_000_000, 5_000_000_000)
-SAVE_NS = 2_000_000_000
-Taker = Callable[[ListKind, int, list[Entry]], None]
+CONNECT_TIMEOUT_NS = 1_000_000_000
+RETRY_DELAY_RANGE_NS = (200_000_000, 5_000_000_000)
+SAVE_INTERVAL_NS = 2_000_000_000
+ListHandler = Callable[[ListKind, int, list[Entry]], None]
 
 
 class NodeList:
-    """Follows the directory and hands every list on; keeps the last one on disk for the next start."""
+    """Follows the directory and passes on every list; saves the latest on disk for the next start."""
 
     def __init__(
-        self, loop: Loop, address: Address, scheduler: str, folder: Path, take: Taker, count: TrafficCount
+        self,
+        loop: Loop,
+        address: Address,
+        scheduler: str,
+        folder: Path,
+        on_list: ListHandler,
+        count: TrafficCount,
     ) -> None:
-        self._loop, self._address, self._scheduler, self._take = loop, address, scheduler, take
+        self._loop, self._address, self._scheduler, self._on_list = loop, address, scheduler, on_list
         self._count = count
         self._path = folder / "node-list.json"
         self.entries: dict[str, Entry] = {}
@@ -36,14 +42,15 @@
         self.connected = False
         self._stream: Stream | None = None
         self._lines = Lines()
-        self._span = RETRY_NS[0]
+        self._retry_delay_ns = RETRY_DELAY_RANGE_NS[0]
         self._closed = self._dirty = False
 
     def start(self) -> None:
+        """Pass on the saved list, then connect to the directory."""
         with contextlib.suppress(FileNotFoundError, msgspec.MsgspecError):
             recalled: list[Entry] = msgspec.json.decode(self._path.read_bytes(), type=list[Entry])
             self.entries = {entry.name: entry for entry in recalled}
-            self._take(ListKind.RECALLED, 0, recalled)
+            self._on_list(ListKind.RECALLED, 0, recalled)
         self._connect()
         self._save()
 
@@ -51,12 +58,12 @@
         if not self._closed:
             self._lines = Lines()
             self._stream = connect_counted(
-                self._loop, self._address, self, CONNECT_NS, self._connected, self._count
+                self._loop, self._address, self, CONNECT_TIMEOUT_NS, self._on_connected, self._count
             )
 
-    def _connected(self, stream: Stream) -> None:
+    def _on_connected(self, stream: Stream) -> None:
         self.connected = True
-        self._span = RETRY_NS[0]
+        self._retry_delay_ns = RETRY_DELAY_RANGE_NS[0]
         self._count.messages_out += 1
         stream.write(encode(Watch(self._scheduler, self.version)))
 
@@ -66,11 +73,11 @@
                 self._count.messages_in += 1
                 if not isinstance(message, Listed) or message.kind not in ("full", "changes"):
                     raise DirectoryError("only lists are expected from the directory")
-                self._listed(message)
+                self._apply_list(message)
         except DirectoryError as fault:
             stream.abort(fault)
 
-    def _listed(self, message: Listed) -> None:
+    def _apply_list(self, message: Listed) -> None:
         self.version, self._dirty = message.version, True
         if message.kind == "full":
             self.entries = {entry.name: entry for entry in message.entries}
@@ -81,14 +88,14 @@
                 else:
                     self.entries[entry.name] = entry
         kind = ListKind.FULL if message.kind == "full" else ListKind.CHANGES
-        self._take(kind, message.version, message.entries)
+        self._on_list(kind, message.version, message.entries)
 
     def on_closed(self, stream: Stream, fault: BaseException | None) -> None:
         self._stream, self.connected = None, False
         if not self._closed:
-            self._take(ListKind.FAILED, self.version, [])
-            self._loop.call_later(self._span, self._connect)
-            self._span = min(RETRY_NS[1], 2 * self._span)
+            self._on_list(ListKind.FAILED, self.version, [])
+            self._loop.call_later(self._retry_delay_ns, self._connect)
+            self._retry_delay_ns = min(RETRY_DELAY_RANGE_NS[1], 2 * self._retry_delay_ns)
 
     def _save(self) -> None:
         if self._closed:
@@ -98,7 +105,7 @@
             fresh = self._path.with_suffix(".new")
             fresh.write_bytes(msgspec.json.encode(list(self.entries.values())))
             os.replace(fresh, self._path)
-        self._loop.call_later(SAVE_NS, self._save)
+        self._loop.call_later(SAVE_INTERVAL_NS, self._save)
 
     def close(self) -> None:
         self._closed = True
--- a/ladderhub/server/operatorrequests.py
+++ b/ladderhub/server/operatorrequests.py
@@ -1,4 +1,4 @@
-"""Requests of operators: Manager on nodes, Shutdown."""
+"""Handlers of operators' requests: Manager and Shutdown."""
 
 from __future__ import annotations
 
@@ -11,32 +11,35 @@
 from ladderhub.server.context import DaemonContext
 from ladderhub.server.members import Members
 
-_ABSENT = {
+_UNAVAILABLE = {
     n.OBJ_POLICY: "the settings of this scheduler name no peers with electors: its file is its policy",
 }  # fmt: skip
 
 
 class OperatorRequests:
-    """Serves operators; `shut` begins the daemon's clean stop."""
+    """Handles operators' requests; `shut_down` begins the daemon's clean stop."""
 
-    def __init__(self, context: DaemonContext, members: Members, shut: Callable[[], None]) -> None:
-        self._context, self._members, self._shut = context, members, shut
-        self._objects: dict[int, RequestHandler] = {n.OBJ_NODE: self.node}
+    def __init__(self, context: DaemonContext, members: Members, shut_down: Callable[[], None]) -> None:
+        self._context, self._members, self._shut_down = context, members, shut_down
+        self._handlers: dict[int, RequestHandler] = {n.OBJ_NODE: self.manage_node}
 
-    def register(self, object_type: int, serve: RequestHandler) -> None:
-        """A room serves Manager requests on its own kind of object."""
-        self._objects[object_type] = serve
+    def register(self, object_type: int, handler: RequestHandler) -> None:
+        """Register the handler of Manager requests on one type of object."""
+        self._handlers[object_type] = handler
 
     def get_handlers(self) -> dict[int, RequestHandler]:
-        return {n.MANAGER: self.manager, n.SHUTDOWN: self.shutdown}
-
-    def manager(self, connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
-        serve = self._objects.get(request.object_type, self.node)
-        serve(connection, request, answer)
-
-    def node(self, connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
-        if request.object_type in _ABSENT:
-            answer(refusal(n.INVALID_REQUEST, _ABSENT[request.object_type]))
+        """Return the handlers by request type."""
+        return {n.MANAGER: self.handle_manager, n.SHUTDOWN: self.handle_shutdown}
+
+    def handle_manager(self, connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
+        """Pass a Manager request to the handler of its object type."""
+        handler = self._handlers.get(request.object_type, self.manage_node)
+        handler(connection, request, answer)
+
+    def manage_node(self, connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
+        """Set a node offline or free."""
+        if request.object_type in _UNAVAILABLE:
+            answer(refusal(n.INVALID_REQUEST, _UNAVAILABLE[request.object_type]))
             return
         if request.command != n.CMD_SET or request.object_type != n.OBJ_NODE:
             answer(refusal(n.INVALID_REQUEST, "only «set node NAME state = offline|free» is known"))
@@ -50,6 +53,7 @@
             return
         self._members.set_offline(request.name, state == "offline", answer)
 
-    def shutdown(self, connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
+    def handle_shutdown(self, connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
+        """Acknowledge the request, then stop the daemon."""
         answer(Reply())
-        self._context.loop.call_soon(self._shut)
+        self._context.loop.call_soon(self._shut_down)
--- a/ladderhub/server/settings/__init__.py
+++ b/ladderhub/server/settings/__init__.py
@@ -1,11 +1,11 @@
 """Settings of the daemon: a Jsonnet file, evaluated and checked before anything starts.
 
-Spans are written with a unit (`"800ms"`, `"6s"`, `"1m"`), memory as the batch interface has it (`"64gb"`).
-Every fault is one `SettingsError`: the file, the path of the field, what was found and what was meant.
+Durations are written with a unit (`"800ms"`, `"6s"`, `"1m"`), memory as in the batch interface (`"64gb"`).
+Every fault is a `SettingsError`: the file, the path of the field, the value found and what is expected.
 
-`schema` has the fields as they are written, `checks` and `ranges` the checks of them, `names` what has an
-index, `terms` and `peers` the settings of those who use them, `policy` the part that a fleet has in common as
-bytes, and `loaded` all of it together.
+`schema` defines the fields as written, `checks` and `ranges` check them, `names` assigns indexes to names,
+`decision_settings` and `peers` convert the settings for their users, `policy` encodes the part that all
+schedulers of a fleet share, and `loaded` combines all of these.
 """
 
 from ladderhub.server.settings.checks import SettingsError, parse_duration_ns, parse_setting_address
--- a/ladderhub/server/settings/checks.py
+++ b/ladderhub/server/settings/checks.py
@@ -1,4 +1,4 @@
-"""Checks of single fields: each fault names the file, the field, what was found and what was meant."""
+"""Checks of single fields.  Each error names the file, the field, the value found and what is expected."""
 
 from __future__ import annotations
 
@@ -11,77 +11,77 @@
 from ladderhub.pbs import names
 from ladderhub.pbs.resources import GIB, ResourceError, parse_size
 
-_UNITS = {"us": 1_000, "ms": 1_000_000, "s": 1_000_000_000, "m": 60_000_000_000, "h": 3_600_000_000_000}
-_SPAN = re.compile(r"(\d+(?:\.\d+)?)(us|ms|s|m|h)")
+_UNIT_NS = {"us": 1_000, "ms": 1_000_000, "s": 1_000_000_000, "m": 60_000_000_000, "h": 3_600_000_000_000}
+_DURATION = re.compile(r"(\d+(?:\.\d+)?)(us|ms|s|m|h)")
 
 
 class SettingsError(LadderhubError):
-    """The settings can't be used: where, what was found, what was meant."""
+    """Invalid settings: the field, the value found and what is expected."""
 
     status, code = 2, names.BAD_ATTRIBUTE_VALUE
     remedy = "mend that field; `ladderhub check FILE` says whether the file is good without starting anything"
 
 
 def parse_duration_ns(text: str, where: str) -> int:
-    """Nanoseconds of a span with its unit."""
-    match = _SPAN.fullmatch(text.strip())
+    """Return the nanoseconds of a duration written with its unit."""
+    match = _DURATION.fullmatch(text.strip())
     if match is None:
         raise SettingsError(
             f"found {text!r}", where=where, expected="a time with its unit, as 800ms, 6s or 5m,"
         )
-    return round(float(match[1]) * _UNITS[match[2]])
+    return round(float(match[1]) * _UNIT_NS[match[2]])
 
 
 def parse_setting_address(text: str, where: str) -> tuple[str, int]:
-    """Host and port of an address written HOST:PORT."""
+    """Return host and port of an address written HOST:PORT."""
     try:
         return parse_address(text)
     except ValueError as fault:
         raise SettingsError(str(fault), where=where) from None
 
 
-def wrong_shape(fault: msgspec.ValidationError, source: str) -> SettingsError:
-    """A field that is unknown, missing or of another type."""
+def make_validation_error(fault: msgspec.ValidationError, source: str) -> SettingsError:
+    """Return the error for a field that is unknown, missing or of the wrong type."""
     text, _, path = str(fault).partition(" - at `$")
     return SettingsError(text, where=f"{source}: {path.rstrip('`').lstrip('.') or 'the file'}")
 
 
 class Checker:
-    """Reads fields of one source, which each fault names."""
+    """Parses and checks fields of one source; each error names the source."""
 
     def __init__(self, source: str) -> None:
         self.source = source
 
-    def wrong(self, path: str, found: object, meant: str) -> SettingsError:
-        """The fault of a field."""
-        return SettingsError(f"found {found!r}", where=f"{self.source}: {path}", expected=meant)
+    def make_error(self, path: str, found: object, expected: str) -> SettingsError:
+        """Return the error for the value of a field."""
+        return SettingsError(f"found {found!r}", where=f"{self.source}: {path}", expected=expected)
 
-    def require(self, holds: bool, path: str, found: object, meant: str) -> None:
-        """Raise the fault of a field unless this holds."""
-        if not holds:
-            raise self.wrong(path, found, meant)
+    def require(self, condition: bool, path: str, found: object, expected: str) -> None:
+        """Raise the error for a field unless the condition is met."""
+        if not condition:
+            raise self.make_error(path, found, expected)
 
-    def refused(self, fault: ValueError, within: str = "") -> SettingsError:
-        """What the settings of a decision module refuse, in their own words."""
-        return SettingsError(f"{within}{fault}", where=self.source)
+    def make_module_error(self, fault: ValueError, prefix: str = "") -> SettingsError:
+        """Return the error for a value that the settings class of a decision module rejects."""
+        return SettingsError(f"{prefix}{fault}", where=self.source)
 
-    def span(self, path: str, text: str) -> int:
-        """Nanoseconds."""
+    def parse_duration_ns(self, path: str, text: str) -> int:
+        """Return the duration of a field in nanoseconds."""
         return parse_duration_ns(text, f"{self.source}: {path}")
 
-    def address(self, path: str, text: str) -> tuple[str, int]:
-        """Host and port."""
+    def parse_address(self, path: str, text: str) -> tuple[str, int]:
+        """Return host and port of a field."""
         return parse_setting_address(text, f"{self.source}: {path}")
 
-    def size(self, path: str, text: str) -> float:
-        """GiB."""
+    def parse_size_gib(self, path: str, text: str) -> float:
+        """Return the memory size of a field in GiB."""
         try:
             return parse_size(text) / GIB
         except ResourceError:
-            raise self.wrong(path, text, "a size with its unit, as 64gb,") from None
+            raise self.make_error(path, text, "a size with its unit, as 64gb,") from None
 
-    def choice(self, path: str, table: dict[str, str], word: str) -> str:
-        """What the word stands for."""
+    def parse_choice(self, path: str, table: dict[str, str], word: str) -> str:
+        """Return the table's value for the word of a field."""
         if word not in table:
-            raise self.wrong(path, word, "one of " + ", ".join(table))
+            raise self.make_error(path, word, "one of " + ", ".join(table))
         return table[word]
--- a/ladderhub/server/settings/decision_settings.py
+++ b/ladderhub/server/settings/decision_settings.py
@@ -1,7 +1,7 @@
-"""The settings in the terms of the decision modules, by the indexes of this process.
+"""Conversion to the settings of the decision modules, which use the indexes of this process.
 
-What vanished from the settings keeps its index and the last terms that it had: jobs that were taken go on by
-them.
+Queues, kinds and tenants removed from the settings keep their index and last values, since jobs accepted
+earlier continue with them.
 """
 
 from __future__ import annotations
@@ -24,39 +24,43 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Names:
-    """All names that have an index."""
+class NameTables:
+    """The tables of all names that have an index."""
 
     queues: NameTable
     kinds: NameTable
     tenants: NameTable
 
 
-def by_index(table: NameTable, now: Mapping[str, T], known: Sequence[T]) -> tuple[T, ...]:
-    """What belongs to each name: as it is now, or as it was last."""
-    return tuple(now[name] if name in now else known[at] for at, name in enumerate(table.all))
+def arrange_by_index(table: NameTable, current: Mapping[str, T], previous: Sequence[T]) -> tuple[T, ...]:
+    """Return the value of each name by index: the current one, or the last one of a removed name."""
+    return tuple(
+        current[name] if name in current else previous[index] for index, name in enumerate(table.all)
+    )
 
 
-def module_settings(
-    file: SettingsFile, names: Names, known: api.Settings | None, checker: Checker
+def make_module_settings(
+    file: SettingsFile, names: NameTables, previous: api.Settings | None, checker: Checker
 ) -> api.Settings:
-    """Of the decision module."""
+    """Return the settings of the decision module."""
     kinds = {
-        name: api.MachineKind(kind.cores, checker.size(f"kinds.{name}.memory", kind.memory))
+        name: api.MachineKind(kind.cores, checker.parse_size_gib(f"kinds.{name}.memory", kind.memory))
         for name, kind in file.kinds.items()
     }
-    classes = {name: _task_class(name, queue, file, names, checker) for name, queue in file.queues.items()}
+    classes = {
+        name: _make_task_class(name, queue, file, names, checker) for name, queue in file.queues.items()
+    }
     tenants = {
         name: api.Tenant(each.share, each.quota_per_s, each.quota_cores)
         for name, each in file.tenants.items()
     }
     nodes, cold, prices = file.nodes, file.nodes.cold, file.prices
-    answers = checker.choice("nodes.answers", _ANSWERS, nodes.answers)
+    answers = checker.parse_choice("nodes.answers", _ANSWERS, nodes.answers)
     try:
         return api.Settings(
-            classes=by_index(names.queues, classes, known.classes if known else ()),
-            kinds=by_index(names.kinds, kinds, known.kinds if known else ()),
-            tenants=by_index(names.tenants, tenants, known.tenants if known else ()),
+            classes=arrange_by_index(names.queues, classes, previous.classes if previous else ()),
+            kinds=arrange_by_index(names.kinds, kinds, previous.kinds if previous else ()),
+            tenants=arrange_by_index(names.tenants, tenants, previous.tenants if previous else ()),
             schedulers=file.schedulers,
             ordinal=file.ordinal,
             zone=0,
@@ -67,10 +71,10 @@
             machines_push_out=nodes.push_out,
             list_shows_room=nodes.list_shows_room,
             may_abort=True,
-            drain_grace_ns=checker.span("nodes.drain_grace", nodes.drain_grace),
+            drain_grace_ns=checker.parse_duration_ns("nodes.drain_grace", nodes.drain_grace),
             cold_pace=cold.pace,
-            cold_span_ns=checker.span("nodes.cold.span", cold.span),
-            cold_window_ns=checker.span("nodes.cold.window", cold.window),
+            cold_span_ns=checker.parse_duration_ns("nodes.cold.span", cold.span),
+            cold_window_ns=checker.parse_duration_ns("nodes.cold.window", cold.window),
             cold_multiple=cold.multiple,
             cold_safe_offers=cold.safe_offers,
             price_move=prices.move,
@@ -81,21 +85,23 @@
             price_cross_zone=prices.cross_zone,
         )
     except ValueError as fault:
-        raise checker.refused(fault) from None
+        raise checker.make_module_error(fault) from None
 
 
-def _task_class(name: str, queue: Queue, file: SettingsFile, names: Names, checker: Checker) -> api.TaskClass:
+def _make_task_class(
+    name: str, queue: Queue, file: SettingsFile, names: NameTables, checker: Checker
+) -> api.TaskClass:
     path = f"queues.{name}"
     spread, repeats = queue.spread, queue.repeats or Repeats()
     if queue.kind and queue.kind not in file.kinds:
-        raise checker.wrong(f"{path}.kind", queue.kind, "one of " + ", ".join(file.kinds))
-    over = checker.choice(f"{path}.spread.over", _SCOPES, spread.over) if spread else "none"
+        raise checker.make_error(f"{path}.kind", queue.kind, "one of " + ", ".join(file.kinds))
+    over = checker.parse_choice(f"{path}.spread.over", _SCOPES, spread.over) if spread else "none"
     return api.TaskClass(
-        effect=api.Effect(checker.choice(f"{path}.effect", _EFFECTS, queue.effect)),
-        aim_ns=checker.span(f"{path}.aim", queue.aim),
-        deadline_ns=checker.span(f"{path}.deadline", queue.deadline),
-        dedupe_scope=api.Scope(checker.choice(f"{path}.repeats.over", _SCOPES, repeats.over)),
-        dedupe_window_ns=checker.span(f"{path}.repeats.window", repeats.window),
+        effect=api.Effect(checker.parse_choice(f"{path}.effect", _EFFECTS, queue.effect)),
+        aim_ns=checker.parse_duration_ns(f"{path}.aim", queue.aim),
+        deadline_ns=checker.parse_duration_ns(f"{path}.deadline", queue.deadline),
+        dedupe_scope=api.Scope(checker.parse_choice(f"{path}.repeats.over", _SCOPES, repeats.over)),
+        dedupe_window_ns=checker.parse_duration_ns(f"{path}.repeats.window", repeats.window),
         worth=queue.worth,
         late_worth=queue.late_worth,
         start_worth_s=queue.start_worth_s,
@@ -108,42 +114,46 @@
     )
 
 
-def owner_settings(
-    file: SettingsFile, names: Names, module: api.Settings, known: OwnerSettings | None, checker: Checker
+def make_owner_settings(
+    file: SettingsFile,
+    names: NameTables,
+    module: api.Settings,
+    previous: OwnerSettings | None,
+    checker: Checker,
 ) -> OwnerSettings:
-    """Of the owner's decisions."""
+    """Return the settings of the owner's decisions."""
     rules = {
-        name: _queue_rules(name, queue, module.classes[names.queues.index(name)], checker)
+        name: _make_queue_rules(name, queue, module.classes[names.queues.index(name)], checker)
         for name, queue in file.queues.items()
     }
-    queues = by_index(names.queues, rules, known.queues if known else ())
+    queues = arrange_by_index(names.queues, rules, previous.queues if previous else ())
     try:
         return OwnerSettings(queues, file.again.share, file.again.burst)
     except ValueError as fault:
-        raise checker.refused(fault) from None
+        raise checker.make_module_error(fault) from None
 
 
-def _queue_rules(name: str, queue: Queue, klass: api.TaskClass, checker: Checker) -> QueueRules:
+def _make_queue_rules(name: str, queue: Queue, klass: api.TaskClass, checker: Checker) -> QueueRules:
     path = f"queues.{name}"
     return QueueRules(
         effect=klass.effect,
-        limit_ns=checker.span(f"{path}.limit", queue.limit),
+        limit_ns=checker.parse_duration_ns(f"{path}.limit", queue.limit),
         request_limit_ns=klass.deadline_ns,
         priority=queue.priority,
         max_requests=queue.asks,
         max_reruns=queue.reruns,
-        min_backoff_ns=checker.span(f"{path}.stay_first", queue.stay_first),
-        max_backoff_ns=checker.span(f"{path}.stay_most", queue.stay_most),
-        query_delay_ns=checker.span(f"{path}.settle", queue.settle),
+        min_backoff_ns=checker.parse_duration_ns(f"{path}.stay_first", queue.stay_first),
+        max_backoff_ns=checker.parse_duration_ns(f"{path}.stay_most", queue.stay_most),
+        query_delay_ns=checker.parse_duration_ns(f"{path}.settle", queue.settle),
     )
 
 
-def rollout_settings(file: SettingsFile, checker: Checker) -> RolloutSettings:
-    """Of all updates of services together."""
+def make_rollout_settings(file: SettingsFile, checker: Checker) -> RolloutSettings:
+    """Return the limits for all updates of services together."""
     given = file.rollouts
-    back_first_ns = checker.span("rollouts.back_first", given.back_first)
-    back_most_ns = checker.span("rollouts.back_most", given.back_most)
+    back_first_ns = checker.parse_duration_ns("rollouts.back_first", given.back_first)
+    back_most_ns = checker.parse_duration_ns("rollouts.back_most", given.back_most)
     try:
         return RolloutSettings(given.at_once, given.turn, back_first_ns, back_most_ns)
     except ValueError as fault:
-        raise checker.refused(fault, "rollouts.") from None
+        raise checker.make_module_error(fault, "rollouts.") from None
--- a/ladderhub/server/settings/loaded.py
+++ b/ladderhub/server/settings/loaded.py
@@ -1,4 +1,4 @@
-"""Checked settings, as the daemon uses them."""
+"""The checked settings that the daemon uses."""
 
 from __future__ import annotations
 
@@ -10,66 +10,68 @@
 
 from ladderhub import interface as api
 from ladderhub.owner.types import OwnerSettings
-from ladderhub.server.settings.checks import Checker, SettingsError, wrong_shape
+from ladderhub.server.settings.checks import Checker, SettingsError, make_validation_error
 from ladderhub.server.settings.decision_settings import (
-    Names,
-    by_index,
-    module_settings,
-    owner_settings,
-    rollout_settings,
+    NameTables,
+    arrange_by_index,
+    make_module_settings,
+    make_owner_settings,
+    make_rollout_settings,
 )
 from ladderhub.server.settings.names import NameTable
-from ladderhub.server.settings.peers import peer_settings
+from ladderhub.server.settings.peers import make_peer_settings
 from ladderhub.server.settings.policy import decode_policy
 from ladderhub.server.settings.ranges import check_ranges
 from ladderhub.server.settings.schema import Kind, Policy, Queue, SettingsFile
 
 
 class LoadedSettings:
-    """Checked settings in the terms of those who use them.
+    """Checked settings, converted for their users.
 
-    `queues`, `kinds` and `tenants` give each name its index; a name that an earlier policy of this process
-    had keeps it, and is closed.  `lease_cooldown_ns`: for how long a lease of the cold budget rests between
-    two holders; it stays as the process began with it."""
+    `queues`, `kinds` and `tenants` map names to indexes; a name of an earlier policy of this process keeps
+    its index and is closed.  `lease_cooldown_ns`: how long a lease of the cold budget is unused between two
+    holders; it stays constant while the process runs."""
 
-    def __init__(self, file: SettingsFile, source: str, known: LoadedSettings | None = None) -> None:
+    def __init__(self, file: SettingsFile, source: str, previous: LoadedSettings | None = None) -> None:
         self.file, self.source = file, source
-        check = Checker(source)
-        _check_names(file, check)
-        check_ranges(file, check)
-        self.listen = check.address("listen", file.listen)
-        self.http = check.address("http", file.http) if file.http else None
-        self.directory = check.address("directory", file.directory)
-        self.names: Names = Names(
-            NameTable(file.queues, known.names.queues if known else None),
-            NameTable(file.kinds, known.names.kinds if known else None),
-            NameTable(file.tenants, known.names.tenants if known else None),
+        checker = Checker(source)
+        _check_names(file, checker)
+        check_ranges(file, checker)
+        self.listen = checker.parse_address("listen", file.listen)
+        self.http = checker.parse_address("http", file.http) if file.http else None
+        self.directory = checker.parse_address("directory", file.directory)
+        self.names: NameTables = NameTables(
+            NameTable(file.queues, previous.names.queues if previous else None),
+            NameTable(file.kinds, previous.names.kinds if previous else None),
+            NameTable(file.tenants, previous.names.tenants if previous else None),
         )
         self.queues, self.kinds, self.tenants = self.names.queues, self.names.kinds, self.names.tenants
         self.default_queue = file.default_queue or self.queues.current[0]
-        self.keep_finished_ns = check.span("keep_finished", file.keep_finished)
-        self.stop_within_ns = check.span("stop_within", file.stop_within)
-        self.connect_ns = check.span("nodes.connect", file.nodes.connect)
-        self.queues_by_index: tuple[Queue, ...] = by_index(
-            self.queues, file.queues, known.queues_by_index if known else ()
+        self.keep_finished_ns = checker.parse_duration_ns("keep_finished", file.keep_finished)
+        self.stop_within_ns = checker.parse_duration_ns("stop_within", file.stop_within)
+        self.connect_ns = checker.parse_duration_ns("nodes.connect", file.nodes.connect)
+        self.queues_by_index: tuple[Queue, ...] = arrange_by_index(
+            self.queues, file.queues, previous.queues_by_index if previous else ()
         )
-        self.kinds_by_index: tuple[Kind, ...] = by_index(
-            self.kinds, file.kinds, known.kinds_by_index if known else ()
+        self.kinds_by_index: tuple[Kind, ...] = arrange_by_index(
+            self.kinds, file.kinds, previous.kinds_by_index if previous else ()
         )
         memory = {
-            name: check.size(f"queues.{name}.default_mem", queue.default_mem)
+            name: checker.parse_size_gib(f"queues.{name}.default_mem", queue.default_mem)
             for name, queue in file.queues.items()
         }
-        self.default_memory: tuple[float, ...] = by_index(
-            self.queues, memory, known.default_memory if known else ()
+        self.default_memory: tuple[float, ...] = arrange_by_index(
+            self.queues, memory, previous.default_memory if previous else ()
         )
-        self.module: api.Settings = module_settings(file, self.names, known.module if known else None, check)
-        self.owner: OwnerSettings = owner_settings(
-            file, self.names, self.module, known.owner if known else None, check
+        self.module: api.Settings = make_module_settings(
+            file, self.names, previous.module if previous else None, checker
         )
-        self.rollouts = rollout_settings(file, check)
-        self.peers = peer_settings(file, check)
-        self.lease_cooldown_ns: int = known.lease_cooldown_ns if known else self.module.cold_window_ns
+        self.owner: OwnerSettings = make_owner_settings(
+            file, self.names, self.module, previous.owner if previous else None, checker
+        )
+        self.rollouts = make_rollout_settings(file, checker)
+        self.peers = make_peer_settings(file, checker)
+        self.lease_cooldown_ns: int = previous.lease_cooldown_ns if previous else self.module.cold_window_ns
         if (
             self.peers is not None
             and self.peers.voters
@@ -79,54 +81,54 @@
                 f"at most {self.lease_cooldown_ns // 1_000_000}ms while this process runs: "
                 "leases rest so long"
             )
-            raise check.wrong("nodes.cold.window", file.nodes.cold.window, most)
+            raise checker.make_error("nodes.cold.window", file.nodes.cold.window, most)
 
     def with_policy(self, body: bytes, source: str) -> LoadedSettings:
-        """This process's own part with another policy; `SettingsError` where that can't be used.
+        """Return these settings with another policy; `SettingsError` if it can't be used.
 
-        Names known before keep their index; those that the policy has no more are closed."""
+        Known names keep their index; names that the policy no longer has are closed."""
         policy = decode_policy(body, source)
         fields = {field: getattr(policy, field) for field in Policy.__struct_fields__}
-        return LoadedSettings(msgspec.structs.replace(self.file, **fields), source, known=self)
+        return LoadedSettings(msgspec.structs.replace(self.file, **fields), source, previous=self)
 
     def with_closed(self, queues: dict[str, Queue], kinds: dict[str, Kind]) -> LoadedSettings:
-        """The same settings, with queues and kinds that an earlier life knew and these do not have."""
+        """Return these settings with queues and kinds that only an earlier life had, closed."""
         before = msgspec.structs.replace(
             self.file,
             queues=queues | self.file.queues,
             kinds=kinds | self.file.kinds,
             default_queue=self.default_queue,
         )
-        return LoadedSettings(self.file, self.source, known=LoadedSettings(before, self.source))
+        return LoadedSettings(self.file, self.source, previous=LoadedSettings(before, self.source))
 
     def tenant_index(self, account: str) -> int:
-        """The tenant that a job of this account counts for."""
+        """Return the index of the tenant that a job of this account counts for."""
         return self.tenants.index(account) if self.tenants.is_known(account) else 0
 
 
-def _check_names(file: SettingsFile, check: Checker) -> None:
+def _check_names(file: SettingsFile, checker: Checker) -> None:
     if not re.fullmatch(r"[A-Za-z0-9][A-Za-z0-9._-]*", file.server):
-        raise check.wrong("server", file.server, "a name of letters, digits, '-', '_' and '.'")
+        raise checker.make_error("server", file.server, "a name of letters, digits, '-', '_' and '.'")
     if not file.queues:
-        raise check.wrong("queues", {}, "at least one queue")
+        raise checker.make_error("queues", {}, "at least one queue")
     queues = ", ".join(file.queues)
-    # Jsonnet puts fields in alphabetical order, so «the first» would not be what was written first.
+    # Jsonnet sorts fields by name, so the first queue need not be the one written first.
     if not file.default_queue and len(file.queues) > 1:
-        raise check.wrong("default_queue", "", f"one of {queues}")
+        raise checker.make_error("default_queue", "", f"one of {queues}")
     if file.default_queue and file.default_queue not in file.queues:
-        raise check.wrong("default_queue", file.default_queue, f"one of {queues}")
+        raise checker.make_error("default_queue", file.default_queue, f"one of {queues}")
 
 
 def check(value: Any, source: str) -> LoadedSettings:
-    """Check an evaluated file."""
+    """Check an evaluated file; `SettingsError` if it can't be used."""
     try:
         return LoadedSettings(msgspec.convert(value, SettingsFile), source)
     except msgspec.ValidationError as fault:
-        raise wrong_shape(fault, source) from None
+        raise make_validation_error(fault, source) from None
 
 
 def evaluate(path: Path) -> Any:
-    """The value of a Jsonnet file; `SettingsError` where it can't be evaluated."""
+    """Evaluate a Jsonnet file; `SettingsError` if that fails."""
     import _jsonnet
 
     try:
@@ -137,5 +139,5 @@
 
 
 def load(path: Path) -> LoadedSettings:
-    """Evaluate and check a file; `SettingsError` where it can't be used."""
+    """Evaluate and check a file; `SettingsError` if it can't be used."""
     return check(evaluate(path), str(path))
--- a/ladderhub/server/settings/names.py
+++ b/ladderhub/server/settings/names.py
@@ -1,4 +1,4 @@
-"""Names and their indexes: what the decision modules know by index keeps it for the life of the process."""
+"""Indexes of names.  The decision modules use indexes, so a name keeps its index while the process runs."""
 
 from __future__ import annotations
 
@@ -6,23 +6,23 @@
 
 
 class NameTable:
-    """Names of queues, kinds or tenants by index.  New ones are appended; one that vanished stays, closed."""
+    """Names of queues, kinds or tenants by index.  New names are appended; removed names stay, closed."""
 
-    def __init__(self, current: Iterable[str], known: NameTable | None = None) -> None:
+    def __init__(self, current: Iterable[str], previous: NameTable | None = None) -> None:
         self.current = list(current)
-        before = known.all if known is not None else []
-        self.all: list[str] = before + [name for name in self.current if name not in before]
-        self._index = {name: at for at, name in enumerate(self.all)}
-        self._open = frozenset(self.current)
+        earlier = previous.all if previous is not None else []
+        self.all: list[str] = earlier + [name for name in self.current if name not in earlier]
+        self._index = {name: index for index, name in enumerate(self.all)}
+        self._current_names = frozenset(self.current)
 
     def index(self, name: str) -> int:
-        """The index of a name that is or was known; KeyError where it never was."""
+        """Return the index of a current or former name; KeyError if it was never known."""
         return self._index[name]
 
     def is_known(self, name: str) -> bool:
-        """Whether it is or was among the settings of this process."""
+        """Whether the settings of this process have or had the name."""
         return name in self._index
 
     def is_open(self, name: str) -> bool:
-        """Whether it is among the settings of now."""
-        return name in self._open
+        """Whether the current settings have the name."""
+        return name in self._current_names
--- a/ladderhub/server/settings/schema.py
+++ b/ladderhub/server/settings/schema.py
@@ -1,10 +1,10 @@
 """The settings file as it is written: its fields, their types and defaults.
 
-`Policy` is what the schedulers of a fleet have in common: which queues, teams and kinds of node there are,
-and what each is promised.  `File` adds what is one process's own: where it listens, keeps its files and finds
-its directory and peers; its place in the fleet (`schedulers`, `ordinal`, `zone`, `seed`), by which it differs
-from the others; and what its own machine bears (`most_jobs`, `most_connections`, `stop_within`, `log`).  A
-revision of the policy that carried any of these would give the same ones to every scheduler.
+`Policy` holds what all schedulers of a fleet share: the queues, tenants and kinds of node, and their terms.
+`SettingsFile` adds what belongs to one process: its addresses, files, directory and peers; its position in
+the fleet (`schedulers`, `ordinal`, `zone`, `seed`), which differs from the others'; and limits of its own
+machine (`most_jobs`, `most_connections`, `stop_within`, `log`).  These must not be part of a policy revision,
+which would give the same values to every scheduler.
 """
 
 from __future__ import annotations
@@ -13,18 +13,22 @@
 
 
 class Spread(msgspec.Struct, forbid_unknown_fields=True):
+    """At most `most` jobs of one service on the nodes of one group, such as a rack."""
+
     over: str
     most: int
 
 
 class Repeats(msgspec.Struct, forbid_unknown_fields=True):
-    """How long, and in which group of nodes, repeats of a keyed job are discarded."""
+    """For how long, and within which group of nodes, repeats of a keyed job are discarded."""
 
     over: str = "all"
     window: str = "5s"
 
 
 class Queue(msgspec.Struct, forbid_unknown_fields=True):
+    """What the jobs of one queue are promised, and how their placement is retried."""
+
     effect: str
     aim: str
     deadline: str
@@ -48,17 +52,23 @@
 
 
 class TenantShare(msgspec.Struct, forbid_unknown_fields=True):
+    """A tenant's share, and the quotas up to which it counts as within its share."""
+
     share: float = 1.0
     quota_per_s: float = 0.0
     quota_cores: float = 0.0
 
 
 class Kind(msgspec.Struct, forbid_unknown_fields=True):
+    """Capacity of the nodes of one kind."""
+
     cores: float
     memory: str
 
 
 class Cold(msgspec.Struct, forbid_unknown_fields=True):
+    """How slowly a freshly started node starts jobs, and the budget of offers to it."""
+
     pace: float = 1.0
     span: str = "0s"
     window: str = "0s"
@@ -67,7 +77,7 @@
 
 
 class Nodes(msgspec.Struct, forbid_unknown_fields=True):
-    """How nodes behave: when they answer, how far they admit, what they tell."""
+    """How nodes behave: when they answer, how much they admit, what they report."""
 
     answers: str = "running"
     admit_cores: float = 1.0
@@ -81,6 +91,8 @@
 
 
 class Prices(msgspec.Struct, forbid_unknown_fields=True):
+    """Prices by which the decision module compares placements."""
+
     move: float = 0.0
     eviction_moves: float = 1.0
     nodes_in_use: float = 0.0
@@ -90,12 +102,14 @@
 
 
 class Again(msgspec.Struct, forbid_unknown_fields=True):
+    """Retry budget: `share` retries are added per new job, up to `burst`."""
+
     share: float = 0.5
     burst: float = 200.0
 
 
 class Rollouts(msgspec.Struct, forbid_unknown_fields=True):
-    """Of all updates of services together."""
+    """Limits for all updates of services together."""
 
     at_once: int = 50
     turn: int = 4
@@ -104,25 +118,27 @@
 
 
 class Peers(msgspec.Struct, forbid_unknown_fields=True):
-    """The other schedulers.  `listen`: where datagrams come; `advertise`: where peers find that, if
-    elsewhere; `seeds`: some peers to begin with; `cluster`: a name that keeps fleets on one network apart."""
+    """The other schedulers.  `listen`: address for datagrams; `advertise`: the address that peers use, if
+    another; `seeds`: some peers to join by; `cluster`: name that separates fleets on one network."""
 
     listen: str
     seeds: list[str]
     advertise: str = ""
     cluster: str = "ladderhub"
     period: str = "1s"
-    electors: list[str] = []  # peer addresses; they vote on leases; none: slots stay with `ordinal`
+    electors: list[str] = []  # addresses of the voters on leases; if empty, slots are assigned by `ordinal`
     lease: str = "8s"
 
 
 class Log(msgspec.Struct, forbid_unknown_fields=True):
+    """Format and level of the log."""
+
     format: str = "json"
     level: str = "info"
 
 
 class Policy(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """What all schedulers of a fleet go by; it may change while they run."""
+    """Settings that all schedulers of a fleet share; they may change at run time."""
 
     queues: dict[str, Queue]
     kinds: dict[str, Kind]
@@ -136,7 +152,7 @@
 
 
 class SettingsFile(Policy, forbid_unknown_fields=True, kw_only=True):
-    """The whole file."""
+    """The whole settings file."""
 
     server: str
     listen: str
--- a/ladderhub/server/spool.py
+++ b/ladderhub/server/spool.py
@@ -1,4 +1,4 @@
-"""Files that must last: whole or not at all, also over a loss of power."""
+"""Files of the spool folder: replaced atomically, also over a loss of power; and the lock of the folder."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 
 
 class SpoolError(LadderhubError):
-    """A file of the spool folder is not as an earlier life left it."""
+    """A file of the spool folder can't be read as an earlier life wrote it."""
 
     status, code = 1, names.SYSTEM
     remedy = "put the file back from a copy, or move the spool folder away and start without what it held"
 
 
 class SpoolLocked(SpoolError):
-    """Another process holds the folder; the message says which."""
+    """Another process has locked the folder; the message names it."""
 
     remedy = "end that process, or give this scheduler a spool folder of its own"
 
 
 class SpoolLock:
-    """One daemon to a spool folder: two would give job numbers twice and run services twice.
+    """Lock of a spool folder: two daemons on one would assign job numbers twice and run services twice.
 
-    The kernel lets go of it when the process ends, however it ends."""
+    The kernel releases it when the process ends for any reason."""
 
     def __init__(self, folder: Path) -> None:
         folder.mkdir(parents=True, exist_ok=True)
@@ -48,7 +48,7 @@
 
 
 def write_durably(path: Path, data: bytes) -> None:
-    """Replace the file's content in one step, on disk when this returns; OSError where that fails."""
+    """Replace the file atomically; its content is on disk on return.  OSError if that fails."""
     fresh = path.with_suffix(".new")
     with open(fresh, "wb") as file:
         file.write(data)
--- a/ladderhub/server/usagemetrics.py
+++ b/ladderhub/server/usagemetrics.py
@@ -1,4 +1,4 @@
-"""What the process spends, as metrics: processor time by cause, bytes and messages by kind."""
+"""Resource use of the process as metrics: processor time by cause, bytes and messages by kind."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 
 
 class UsageMetrics(Collector):
-    """The accounts of one daemon, read each time the page is made."""
+    """Collects processor time and traffic of one daemon each time the page is rendered."""
 
     def __init__(self, processor: ProcessorTime, traffic: Traffic) -> None:
         self._processor, self._traffic = processor, traffic
 
     def collect(self) -> Iterator[Metric]:
-        yield self._processor_seconds()
-        yield from self._passed()
+        yield self._collect_processor_seconds()
+        yield from self._collect_traffic()
 
-    def _processor_seconds(self) -> Metric:
+    def _collect_processor_seconds(self) -> Metric:
         text = "Processor time by cause; the sum is the process's"
         family = CounterMetricFamily("ladderhub_processor_seconds", text, labels=["cause"])
         for cause, seconds in self._processor.seconds().items():
             family.add_metric([cause.value], seconds)
         return family
 
-    def _passed(self) -> Iterator[Metric]:
+    def _collect_traffic(self) -> Iterator[Metric]:
         labels = ["kind", "direction"]
         sizes = CounterMetricFamily("ladderhub_bytes", "Bytes by kind of connection", labels=labels)
         messages = CounterMetricFamily("ladderhub_messages", "Messages by kind of connection", labels=labels)
