--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,7 @@
-"""What all tests share: the profile of generated examples.
+"""The hypothesis profile that all tests share.
 
-No verdict rests on how long something took, since tests run side by side and on machines that are busy: so
-neither an example nor the making of examples has a time limit.  What is checked and how often stays."""
+Tests run in parallel and on busy machines, so no verdict depends on elapsed time: neither an example nor its
+generation has a time limit.  What is checked, and how often, is unchanged."""
 
 from __future__ import annotations
 
--- a/tests/server/test_policy.py
+++ b/tests/server/test_policy.py
@@ -1,4 +1,4 @@
-"""The policy part of the settings: bytes that are the same for equal policies, and another one taken over."""
+"""The policy part of the settings: its encoding, and the change to another policy."""
 
 from __future__ import annotations
 
@@ -12,46 +12,48 @@
 from ladderhub.lab.fleet import SETTINGS
 from ladderhub.server.settings import LoadedSettings, SettingsError, check, diff_policies, encode_policy
 
-OWN = {"server": "alpha", "listen": "127.0.0.1:1", "directory": "127.0.0.1:2", "spool": "spool"}
+PROCESS_SETTINGS = {"server": "alpha", "listen": "127.0.0.1:1", "directory": "127.0.0.1:2", "spool": "spool"}
 
 
-def loaded(**own: Any) -> LoadedSettings:
-    return check(copy.deepcopy(SETTINGS) | OWN | own, "file")
+def load_settings(**own: Any) -> LoadedSettings:
+    return check(copy.deepcopy(SETTINGS) | PROCESS_SETTINGS | own, "file")
 
 
-def edited(settings: LoadedSettings, edit: Callable[[dict[str, Any]], None]) -> bytes:
+def edit_policy(settings: LoadedSettings, edit: Callable[[dict[str, Any]], None]) -> bytes:
     value = json.loads(encode_policy(settings.file))
     edit(value)
     return json.dumps(value).encode()
 
 
-def without_mail(value: dict[str, Any]) -> None:
+def remove_mail_and_south(value: dict[str, Any]) -> None:
     del value["queues"]["mail"]
     del value["tenants"]["south"]
 
 
-def test_equal_policies_have_the_same_bytes_and_nothing_of_one_process_is_in_them() -> None:
-    given = copy.deepcopy(SETTINGS) | OWN
+def test_equal_policies_have_equal_bytes_without_settings_of_one_process() -> None:
+    given = copy.deepcopy(SETTINGS) | PROCESS_SETTINGS
     given["queues"] = dict(reversed(given["queues"].items()))
     given["nodes"] = dict(reversed(given["nodes"].items()))
     other = check(given | {"server": "beta", "spool": "elsewhere", "seed": 9, "schedulers": 3}, "file")
-    body = encode_policy(loaded().file)
+    body = encode_policy(load_settings().file)
     assert encode_policy(other.file) == body
     fields = set(json.loads(body))
-    assert fields.isdisjoint({*OWN, "schedulers", "ordinal", "peers", "zone", "seed", "log", "most_jobs"})
-    assert encode_policy(loaded().with_policy(body, "revision 1").file) == body
+    assert fields.isdisjoint(
+        {*PROCESS_SETTINGS, "schedulers", "ordinal", "peers", "zone", "seed", "log", "most_jobs"}
+    )
+    assert encode_policy(load_settings().with_policy(body, "revision 1").file) == body
 
 
-def test_names_keep_their_index_and_what_vanished_is_closed() -> None:
-    first = loaded()
+def test_names_keep_their_index_and_removed_names_are_closed() -> None:
+    first = load_settings()
 
     def edit(value: dict[str, Any]) -> None:
-        without_mail(value)
+        remove_mail_and_south(value)
         value["queues"]["aaa"] = value["queues"]["web"] | {"limit": "9s", "default_mem": "3gb"}
         value["tenants"]["aaa"] = {"share": 0.1}
         value["kinds"]["aaa"] = {"cores": 1, "memory": "1gb"}
 
-    second = first.with_policy(edited(first, edit), "revision 2")
+    second = first.with_policy(edit_policy(first, edit), "revision 2")
     for one, two in (
         (first.queues, second.queues),
         (first.kinds, second.kinds),
@@ -70,7 +72,7 @@
 
 
 @pytest.mark.parametrize(
-    ("path", "value", "said"),
+    ("path", "value", "expected_text"),
     [
         (("queues", "web", "limit"), "soon", "revision 2: queues.web.limit: found 'soon'"),
         (("queues", "web", "limit"), 3, "revision 2: queues[...].limit"),
@@ -89,45 +91,45 @@
     ],
 )
 def test_a_policy_that_cannot_be_taken_is_refused_by_field(
-    path: tuple[str, ...], value: Any, said: str
+    path: tuple[str, ...], value: Any, expected_text: str
 ) -> None:
-    def edit(whole: dict[str, Any]) -> None:
+    def edit(section: dict[str, Any]) -> None:
         for key in path[:-1]:
-            whole = whole[key]
-        whole[path[-1]] = value
+            section = section[key]
+        section[path[-1]] = value
 
-    first = loaded()
+    first = load_settings()
     with pytest.raises(SettingsError) as fault:
-        first.with_policy(edited(first, edit), "revision 2")
-    assert said in str(fault.value)
+        first.with_policy(edit_policy(first, edit), "revision 2")
+    assert expected_text in str(fault.value)
     with pytest.raises(SettingsError, match="revision 2"):
         first.with_policy(b'{"queues": ', "revision 2")
 
 
-def test_where_leases_are_on_the_cold_window_grows_by_a_restart_alone() -> None:
+def test_with_leases_the_cold_window_can_grow_only_by_a_restart() -> None:
     peers = {"listen": "127.0.0.1:3", "seeds": [], "electors": ["127.0.0.1:3"]}
-    first = loaded(peers=peers)
+    first = load_settings(peers=peers)
 
-    def window(span: str) -> bytes:
-        return edited(first, lambda value: value["nodes"]["cold"].update(window=span))
+    def with_window(span: str) -> bytes:
+        return edit_policy(first, lambda value: value["nodes"]["cold"].update(window=span))
 
-    assert first.with_policy(window("1s"), "revision 2").lease_cooldown_ns == 2_000_000_000
+    assert first.with_policy(with_window("1s"), "revision 2").lease_cooldown_ns == 2_000_000_000
     with pytest.raises(SettingsError, match=r"nodes.cold.window: found '3s'; at most 2000ms"):
-        first.with_policy(window("1s"), "revision 2").with_policy(window("3s"), "revision 3")
-    assert loaded().with_policy(window("3s"), "revision 2").module.cold_window_ns == 3_000_000_000
+        first.with_policy(with_window("1s"), "revision 2").with_policy(with_window("3s"), "revision 3")
+    assert load_settings().with_policy(with_window("3s"), "revision 2").module.cold_window_ns == 3_000_000_000
 
 
-def test_a_difference_is_told_by_queue_tenant_and_setting() -> None:
-    first = loaded()
+def test_a_difference_is_described_by_queue_tenant_and_setting() -> None:
+    first = load_settings()
 
     def edit(value: dict[str, Any]) -> None:
-        without_mail(value)
+        remove_mail_and_south(value)
         value["queues"]["new"] = value["queues"]["web"]
         value["queues"]["web"] = value["queues"]["web"] | {"limit": "9s", "spread": None}
         value["nodes"]["cold"]["safe_offers"] = 12
         value["default_queue"] = "new"
 
-    second = first.with_policy(edited(first, edit), "revision 2")
+    second = first.with_policy(edit_policy(first, edit), "revision 2")
     assert diff_policies(encode_policy(first.file), encode_policy(second.file)) == [
         "default_queue web -> new",
         "nodes.cold.safe_offers 24.0 -> 12.0",
--- a/tests/server/test_settings_change.py
+++ b/tests/server/test_settings_change.py
@@ -1,4 +1,4 @@
-"""A running daemon takes another policy and forgets nothing, over sockets."""
+"""Change of the policy of a running daemon, over sockets: jobs, services and their terms are kept."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 Edit = Callable[[dict[str, Any]], object]
 Make = Callable[..., World]
-WHOLE = 64.0  # all cores that a node admits
+ALL_CORES = 64.0  # that a node admits
 
 
 @pytest.fixture
@@ -44,7 +44,7 @@
         assert not world.troubles
 
 
-def change(world: World, edit: Edit, number: int = 2) -> None:
+def change_policy(world: World, edit: Edit, number: int = 2) -> None:
     context = world.daemons["alpha"].context
     value = json.loads(encode_policy(context.settings.file))
     edit(value)
@@ -53,37 +53,37 @@
     assert context.revision.number == number and context.settings is loaded
 
 
-def refused(world: World, queue: str, account: str = "north", cpus: float = 1.0) -> str:
-    """What a submission is told that is not taken."""
-    told: list[tuple[str, str]] = []
+def get_refusal(world: World, queue: str, account: str = "north", cpus: float = 1.0) -> str:
+    """Submit a job that is refused; return the reason."""
+    results: list[tuple[str, str]] = []
     attrs = attributes("work", queue, cpus, 1.0, 30, account)
-    Submission(world.loop, world.public, queue, attrs, b"true\n", lambda job, why: told.append((job, why)))
-    world.until(lambda: told)
-    assert not told[0][0]
-    return told[0][1]
+    Submission(world.loop, world.public, queue, attrs, b"true\n", lambda job, why: results.append((job, why)))
+    world.until(lambda: results)
+    assert not results[0][0]
+    return results[0][1]
 
 
-def queue_rows(world: World) -> dict[str, Row]:
+def get_queue_rows(world: World) -> dict[str, Row]:
     request = Request(n.STATUS_QUEUE)
-    return {row.name: row for row in world.ask(lambda client, told: client.send(request, told)).rows}
+    return {row.name: row for row in world.ask(lambda client, on_reply: client.send(request, on_reply)).rows}
 
 
 def test_a_queue_that_is_removed_refuses_new_jobs_and_finishes_what_it_has(make: Make) -> None:
     world = make(1, limit="60s")
-    runs = world.submit("billing", cpus=WHOLE)
-    world.wait(runs, "R")
-    waits = world.submit("billing", cpus=WHOLE)
-    change(world, lambda value: value["queues"].pop("billing"))
-    said = refused(world, "billing")
-    assert "takes no new jobs" in said and "revision 2" in said and "web" in said
-    assert [world.row(job).get("queue") for job in (runs, waits)] == ["billing", "billing"]
-    assert world.row(runs).get("job_state") == "R"
-    assert queue_rows(world)["billing"].get("enabled") == "False"
-    world.delete(runs)
-    assert world.wait(waits, "R").get("policy_revision") == "2"
-    world.delete(waits)
-    assert "billing" not in queue_rows(world)
-    change(world, lambda value: value["queues"].update(billing=world.settings["queues"]["billing"]), 3)
+    running = world.submit("billing", cpus=ALL_CORES)
+    world.wait(running, "R")
+    waiting = world.submit("billing", cpus=ALL_CORES)
+    change_policy(world, lambda value: value["queues"].pop("billing"))
+    text = get_refusal(world, "billing")
+    assert "takes no new jobs" in text and "revision 2" in text and "web" in text
+    assert [world.row(job).get("queue") for job in (running, waiting)] == ["billing", "billing"]
+    assert world.row(running).get("job_state") == "R"
+    assert get_queue_rows(world)["billing"].get("enabled") == "False"
+    world.delete(running)
+    assert world.wait(waiting, "R").get("policy_revision") == "2"
+    world.delete(waiting)
+    assert "billing" not in get_queue_rows(world)
+    change_policy(world, lambda value: value["queues"].update(billing=world.settings["queues"]["billing"]), 3)
     assert world.submit("billing")
 
 
@@ -94,10 +94,10 @@
         value["queues"]["express"] = value["queues"]["web"] | {"priority": 9}
         value["tenants"]["west"] = {"share": 0.2}
 
-    assert "Unknown queue express" in refused(world, "express")
+    assert "Unknown queue express" in get_refusal(world, "express")
     before = world.submit("web")
     assert world.wait(before, "R").get("policy_revision") == "1"
-    change(world, edit)
+    change_policy(world, edit)
     job = world.submit("express", account="west")
     row = world.wait(job, "R")
     assert (row.get("queue"), row.get("policy_revision")) == ("express", "2")
@@ -106,24 +106,25 @@
 
 def test_a_job_that_waits_keeps_its_limit_and_a_new_one_has_the_new(make: Make) -> None:
     world = make(1, limit="3s")
-    runs = world.submit("web", cpus=WHOLE, life_s=60)
-    world.wait(runs, "R")
-    old = world.submit("web", cpus=WHOLE)
-    change(world, lambda value: value["queues"]["web"].update(limit="10m"))
-    new = world.submit("web", cpus=WHOLE)
+    running = world.submit("web", cpus=ALL_CORES, life_s=60)
+    world.wait(running, "R")
+    old = world.submit("web", cpus=ALL_CORES)
+    change_policy(world, lambda value: value["queues"]["web"].update(limit="10m"))
+    new = world.submit("web", cpus=ALL_CORES)
     world.wait_answer(old, "refused")
     assert world.row(new).get("job_state") == "Q"
-    world.delete(runs)
+    world.delete(running)
     world.wait(new, "R")
 
 
-def test_log_rows_of_decisions_bear_the_revision_they_were_made_by(make: Make) -> None:
+def test_log_rows_of_decisions_name_the_revision_they_were_made_by(make: Make) -> None:
     world = make(1)
     capture = LogCapture()
     world.daemons["alpha"].context.log = structlog.wrap_logger(structlog.ReturnLogger(), processors=[capture])
-    world.wait(world.submit("web", cpus=WHOLE, life_s=60), "R")
-    change(world, lambda value: value["nodes"].update(admit_cores=4.0))  # more than the node itself admits
-    world.wait_answer(world.submit("web", cpus=WHOLE), "refused")
+    world.wait(world.submit("web", cpus=ALL_CORES, life_s=60), "R")
+    # More than the node itself admits.
+    change_policy(world, lambda value: value["nodes"].update(admit_cores=4.0))
+    world.wait_answer(world.submit("web", cpus=ALL_CORES), "refused")
     seen: dict[str, set[int]] = {}
     for row in capture.entries:
         seen.setdefault(row["event"], set()).add(row.get("revision", 0))
@@ -133,32 +134,32 @@
 
 def test_quotas_change_and_a_team_that_is_removed_finishes_what_it_has(make: Make) -> None:
     world = make(1, limit="60s")
-    runs = world.submit("web", cpus=WHOLE, account="south")
-    world.wait(runs, "R")
-    waits = world.submit("web", cpus=WHOLE, account="south")
+    running = world.submit("web", cpus=ALL_CORES, account="south")
+    world.wait(running, "R")
+    waiting = world.submit("web", cpus=ALL_CORES, account="south")
 
     def edit(value: dict[str, Any]) -> None:
         del value["tenants"]["south"]
         value["tenants"]["north"] = {"share": 0.9, "quota_per_s": 3.0, "quota_cores": 40.0}
 
-    change(world, edit)
+    change_policy(world, edit)
     tenants = world.daemons["alpha"].module.settings.tenants
     assert (tenants[0].share, tenants[0].quota_per_s, tenants[0].quota_cores) == (0.9, 3.0, 40.0)
-    assert "account south takes no new jobs" in refused(world, "web", account="south")
-    assert "unknown account east" in refused(world, "web", account="east")
-    world.delete(runs)
-    world.wait(waits, "R")
+    assert "account south takes no new jobs" in get_refusal(world, "web", account="south")
+    assert "unknown account east" in get_refusal(world, "web", account="east")
+    world.delete(running)
+    world.wait(waiting, "R")
 
 
 def test_a_job_taken_as_unsafe_stays_so_when_its_queue_becomes_safe(make: Make) -> None:
     world = make(2)
     first = world.submit("billing")
     node = world.wait(first, "R").get("exec_host").partition("/")[0]
-    change(world, lambda value: value["queues"]["billing"].update(effect="safe"))
+    change_policy(world, lambda value: value["queues"]["billing"].update(effect="safe"))
     second = world.submit("billing", service="billing-1")
-    assert world.wait(second, "R").get("exec_host").startswith(node)  # where it is warm
+    assert world.wait(second, "R").get("exec_host").startswith(node)  # the service is warm there
     world.crash(node)
-    # The later one was taken as safe and is placed anew; nobody can say whether the first one runs.
+    # The second job was accepted as safe and is placed again.  Whether the first one still runs is unknown.
     world.until(lambda: world.row(second).get("exec_host").partition("/")[0] not in ("", node), 40)
     context = world.daemons["alpha"].context
     state, why = context.owner.get_state(context.jobs.by_id[first].number)
@@ -174,26 +175,26 @@
     assert (row.get("job_state"), row.get("run_count")) == ("Q", "0")
     assert row.get("comment") == "catches up with the fleet's configuration"
     assert "before it ran" in world.delete(cancelled).text
-    change(world, lambda value: value["nodes"].update(most_attempts=4))
+    change_policy(world, lambda value: value["nodes"].update(most_attempts=4))
     context.resume()
     assert world.wait(job, "R").get("comment") != "catches up with the fleet's configuration"
 
 
 def test_nodes_of_a_kind_that_is_removed_get_nothing_more_and_come_back_with_it(make: Make) -> None:
     world = make(1, limit="60s")
-    runs = world.submit("web")
-    world.wait(runs, "R")
+    running = world.submit("web")
+    world.wait(running, "R")
 
     def edit(value: dict[str, Any]) -> None:
         del value["kinds"]["large"], value["queues"]["billing"]
 
-    change(world, edit)
-    assert "no kind of node here holds 64 cores" in refused(world, "web", cpus=WHOLE)
-    waits = world.submit("web")
+    change_policy(world, edit)
+    assert "no kind of node here holds 64 cores" in get_refusal(world, "web", cpus=ALL_CORES)
+    waiting = world.submit("web")
     world.run_for(S // 2)
-    assert (world.row(waits).get("run_count"), world.row(runs).get("job_state")) == ("0", "R")
-    change(world, lambda value: value["kinds"].update(large=world.settings["kinds"]["large"]), 3)
-    world.wait(waits, "R")
+    assert (world.row(waiting).get("run_count"), world.row(running).get("job_state")) == ("0", "R")
+    change_policy(world, lambda value: value["kinds"].update(large=world.settings["kinds"]["large"]), 3)
+    world.wait(waiting, "R")
 
 
 def test_a_service_keeps_the_class_it_was_declared_with(make: Make) -> None:
@@ -201,26 +202,26 @@
     assert not declare(world, "ledger", "billing", 2, "one").code
     services = world.daemons["alpha"].services
     world.until(lambda: len(services.rollouts.services["ledger"].healthy) == 2)
-    change(world, lambda value: value["queues"]["billing"].update(effect="safe"))
+    change_policy(world, lambda value: value["queues"]["billing"].update(effect="safe"))
     assert not declare(world, "ledger", "billing", 2, "two").code
     world.until(lambda: services.rollouts.services["ledger"].stage.value == "over", 40)
     assert services.rollouts.services["ledger"].rules.effect is Effect.UNSAFE
-    change(world, lambda value: value["queues"].pop("billing"), 3)
+    change_policy(world, lambda value: value["queues"].pop("billing"), 3)
     assert "billing" in declare(world, "ledger", "billing", 2, "three").text
     assert len(services.rollouts.services["ledger"].healthy) == 2
 
 
 @pytest.mark.parametrize("removed", [True, False])
-def test_a_restart_takes_over_what_runs_in_a_queue_that_its_file_has_not(make: Make, removed: bool) -> None:
+def test_a_restart_adopts_what_runs_in_a_queue_that_its_file_lacks(make: Make, removed: bool) -> None:
     world = make(2, limit="60s")
-    change(world, lambda value: value["queues"].update(late=value["queues"]["web"]))
+    change_policy(world, lambda value: value["queues"].update(late=value["queues"]["web"]))
     job = world.submit("late", service="alone")
     assert not declare(world, "shop", "late", 2, "one").code
     world.wait(job, "R")
     world.until(lambda: len(world.daemons["alpha"].services.rollouts.services["shop"].healthy) == 2)
-    change(world, lambda value: value["queues"]["late"].update(effect="unsafe"), 3)
+    change_policy(world, lambda value: value["queues"]["late"].update(effect="unsafe"), 3)
     if removed:
-        change(world, lambda value: value["queues"].pop("late"), 4)
+        change_policy(world, lambda value: value["queues"].pop("late"), 4)
     world.daemons.pop("alpha").close()
     daemon = world.daemon()
     world.until(lambda: len(daemon.services.rollouts.services["shop"].healthy) == 2)
@@ -228,41 +229,39 @@
     world.until(lambda: job in daemon.jobs.by_id)
     row = world.row(job)
     assert (row.get("job_state"), row.get("queue"), row.get("policy_revision")) == ("R", "late", "1")
-    assert "takes no new jobs" in refused(world, "late")  # until somebody tells the policy of now
-    change(world, lambda value: value["queues"].update(late=value["queues"]["web"]), 5)
+    assert "takes no new jobs" in get_refusal(world, "late")  # until the current policy arrives
+    change_policy(world, lambda value: value["queues"].update(late=value["queues"]["web"]), 5)
     assert world.submit("late") and world.row(job).get("job_state") == "R"
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_day_of_changes_keeps_the_five_rules(make: Make, seed: int) -> None:
     world = make(4, limit="20s", record=True)
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     jobs: list[str] = []
 
     def edit(value: dict[str, Any]) -> None:
         for queue in value["queues"].values():
-            queue["priority"] = chance.randrange(3)
-            queue["stay_first"] = chance.choice(("100ms", "300ms"))
-            queue["asks"] = chance.choice((8, 40))
+            queue["priority"] = rng.randrange(3)
+            queue["stay_first"] = rng.choice(("100ms", "300ms"))
+            queue["asks"] = rng.choice((8, 40))
         value["nodes"]["cold"] |= {
-            "safe_offers": chance.choice((8, 24)),
-            "window": chance.choice(("2s", "3s")),
+            "safe_offers": rng.choice((8, 24)),
+            "window": rng.choice(("2s", "3s")),
         }
-        value["nodes"]["most_attempts"] = chance.choice((2, 3))
+        value["nodes"]["most_attempts"] = rng.choice((2, 3))
         value["tenants"] = {
-            "north": {"share": chance.random()},
-            f"team-{chance.randrange(9)}": {"share": 0.1},
+            "north": {"share": rng.random()},
+            f"team-{rng.randrange(9)}": {"share": 0.1},
         }
         value["queues"].pop("batch", None)
-        if chance.random() < 0.5:
+        if rng.random() < 0.5:
             value["queues"]["batch"] = world.settings["queues"]["batch"]
 
     for number in range(2, 14):
         for _ in range(3):
-            jobs.append(
-                world.submit(chance.choice(("web", "mail", "billing")), life_s=chance.uniform(0.2, 2))
-            )
-        change(world, edit, number)
+            jobs.append(world.submit(rng.choice(("web", "mail", "billing")), life_s=rng.uniform(0.2, 2)))
+        change_policy(world, edit, number)
         if number == 6:
             world.crash("node-1")
     world.until(lambda: not world.daemons["alpha"].owner.count_unanswered(), 40)
@@ -275,30 +274,32 @@
     assert verdict.good(), verdict.lines()
 
 
-def test_events_of_one_turn_are_heard_side_by_side() -> None:
-    heard: list[str] = []
+def test_events_of_one_batch_are_handled_before_events_that_they_cause() -> None:
+    executed: list[str] = []
 
-    class Part:
+    class EchoModule:
         def handle(self, now_ns: int, event: str) -> list[str]:
             return [event]
 
         def execute(self, now_ns: int, action: str) -> None:
-            heard.append(action)
+            executed.append(action)
             if action == "change":
                 with dispatcher.batch():
-                    one("module")
-                    two("owner")
+                    tell_first("module")
+                    tell_second("owner")
             elif action == "module":
-                one("what the module caused")
+                tell_first("what the module caused")
 
         def on_handled(self, event: str) -> None:
             return
 
     dispatcher = EventDispatcher(lambda: 0, lambda event, fault: None)
-    one, two = dispatcher.register(Part(), Part()), dispatcher.register(Part(), Part())
-    one("change")
+    tell_first, tell_second = (
+        dispatcher.register(EchoModule(), EchoModule()), dispatcher.register(EchoModule(), EchoModule()),
+    )  # fmt: skip
+    tell_first("change")
     with dispatcher.batch():
-        two("a")
-        one("b")
-        assert heard[-1] != "b"
-    assert heard == ["change", "module", "owner", "what the module caused", "a", "b"]
+        tell_second("a")
+        tell_first("b")
+        assert executed[-1] != "b"
+    assert executed == ["change", "module", "owner", "what the module caused", "a", "b"]
--- a/tests/test_daemon_signals.py
+++ b/tests/test_daemon_signals.py
@@ -1,4 +1,4 @@
-"""Signals at the last moment of a daemon's stop."""
+"""Signals that arrive while a daemon shuts down."""
 
 from __future__ import annotations
 
@@ -12,8 +12,9 @@
 ROOT = Path(__file__).parents[1]
 
 
-def test_signals_until_the_last_moment_of_a_stop_end_no_directory_by_a_signal() -> None:
-    # Guards against a stop that counts as a crash: the interpreter resets its handlers as it ends.
+def test_signals_during_shutdown_do_not_kill_the_directory() -> None:
+    # Guards against a shutdown that counts as a crash: the interpreter resets signal handlers as it exits, so
+    # a late signal would kill the process.
     argv = [sys.executable, "-m", "ladderhub", "directory", "--listen", f"127.0.0.1:{free_port()}"]
     child = subprocess.Popen(argv, cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True)
     assert child.stdout is not None
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -1,4 +1,4 @@
-"""Imports run one way: what the packages' docstrings say of them, held against the source."""
+"""Import rules: no cycles, and only the dependencies that the packages' docstrings allow."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 )
 
 
-def imports() -> dict[str, set[str]]:
-    """Module -> modules of ladderhub that it names anywhere, also for types only."""
+def collect_imports() -> dict[str, set[str]]:
+    """Map each module to the modules of ladderhub that it imports anywhere, also for types only."""
     names = {}
     for path in ROOT.rglob("*.py"):
         parts = path.relative_to(ROOT.parent).with_suffix("").parts
@@ -40,20 +40,20 @@
             else:
                 continue
             found[name] |= {each for each in both if each in names and each != name}
-        # `from ladderhub.x import y` where y is a module needs x only as its folder.
+        # `from ladderhub.x import y`, where y is a module, depends on y but not on x.
         found[name] -= {each for each in found[name] if any(o.startswith(each + ".") for o in found[name])}
     return found
 
 
-def test_no_modules_import_each_other_in_a_circle() -> None:
-    # Guards against the circle of daemon, door and metrics, where every new subsystem would have been hung.
+def test_no_modules_import_each_other_in_a_cycle() -> None:
+    # Guards against an import cycle of daemon, client listener and metrics, which new subsystems would join.
     try:
-        list(TopologicalSorter(imports()).static_order())
+        list(TopologicalSorter(collect_imports()).static_order())
     except CycleError as fault:
         raise AssertionError(" -> ".join(fault.args[1])) from None
 
 
-def test_decisions_know_nothing_of_sockets_and_rooms_nothing_of_their_users() -> None:
+def test_decision_packages_import_no_sockets_and_no_package_imports_its_users() -> None:
     allowed = {
         "ladderhub.errors": {"ladderhub.errors"},
         "ladderhub.decide": {"ladderhub.interface", "ladderhub.decide"},
@@ -89,10 +89,10 @@
             "ladderhub.usage",
         },
     }  # fmt: skip
-    for name, used in imports().items():
+    for name, used in collect_imports().items():
         for package, may in allowed.items():
             if name == package or name.startswith(package + "."):
-                top = "ladderhub"  # it holds the version alone
+                top = "ladderhub"  # it contains only the version
                 wrong = {
                     u for u in used if not any(u == m or (m != top and u.startswith(m + ".")) for m in may)
                 }
@@ -112,15 +112,15 @@
     order = text.partition("in this order: ")[2].rstrip(".").split(", ")
     folder = Path(package.__path__[0])
     assert sorted(order) == sorted(p.stem for p in folder.glob("*.py") if p.stem != "__init__")
-    for name, used in imports().items():
+    for name, used in collect_imports().items():
         if name.startswith(f"{package.__name__}."):
             at = order.index(name.rpartition(".")[2])
             parts = {u.rpartition(".")[2] for u in used if u.startswith(f"{package.__name__}.")}
             assert parts <= set(order[:at]), (name, sorted(parts))
 
 
-def test_the_platforms_scheduler_loads_nothing_that_its_environment_has_not() -> None:
-    # Guards against the first start there, which died on a library that `run` does not install.
+def test_the_platform_scheduler_loads_only_libraries_that_its_environment_has() -> None:
+    # Guards against an import of a library that `run` does not install there, which failed the first start.
     code = "import sys, ladderhub.platform.service; print(*{name.partition('.')[0] for name in sys.modules})"
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     needed = (ROOT.parent / "requirements.txt").read_text()
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,6 +1,6 @@
 """A small fleet in one process for tests over sockets: daemons, nodes and directory on one loop, real time.
 
-Tests wait for what must come, with generous bounds; no verdict rests on how long something took."""
+Tests wait for the expected state with generous time limits; no verdict depends on elapsed time."""
 
 from __future__ import annotations
 
@@ -32,7 +32,8 @@
 
 
 class World:
-    """`nodes` large nodes.  With `record`, clients and nodes talk through a tap."""
+    """A directory and `nodes` large nodes; `daemon` adds schedulers.  With `record`, clients, schedulers and
+    nodes talk through a tap that records them."""
 
     def __init__(
         self, folder: Path, nodes: int = 3, *, record: bool = False, warm_ns: int = 20 * MS,
@@ -61,6 +62,7 @@
         self.until(lambda: len(self.directory.entries) == nodes)
 
     def add_node(self, name: str, kind: str = "large") -> FlakyAgent:
+        """Start a node that counts as up for an hour."""
         if name not in self._ports:
             port = free_port()
             public = ("127.0.0.1", port)
@@ -84,10 +86,11 @@
         return agent
 
     def crash(self, name: str) -> None:
+        """Close all sockets of a node and lose its jobs."""
         self.agents.pop(name).close()
 
     def daemon(self, name: str = "alpha", port: int = 0, wait: bool = True) -> Daemon:
-        """Start a scheduler that knows of all nodes."""
+        """Start a scheduler; with `wait`, return once it knows all nodes."""
         directory = self.directory.address
         port = port or free_port()
         public = ("127.0.0.1", port)
@@ -109,21 +112,22 @@
     # --- time ---------------------------------------------------------------------------------------------
 
     def until(self, done: Callable[[], object], seconds: float = 20) -> None:
-        """Turn the loop until `done`; AssertionError where it does not come about."""
+        """Run the loop until `done` returns true; AssertionError after `seconds`."""
         end = self.loop.now_ns() + round(seconds * S)
         while not done():
-            assert self.loop.now_ns() < end, "what the test waits for did not come about"
+            assert self.loop.now_ns() < end, "the expected state was not reached in time"
             self.loop.turn(5 * MS)
 
     def run_for(self, span_ns: int) -> None:
+        """Run the loop for a duration."""
         end = self.loop.now_ns() + span_ns
         while self.loop.now_ns() < end:
             self.loop.turn(min(5 * MS, max(0, end - self.loop.now_ns())))
 
-    # --- what a client does -------------------------------------------------------------------------------
+    # --- client requests ----------------------------------------------------------------------------------
 
     def ask(self, call: Callable[[BatchClient, Callable[[Reply | None], None]], None]) -> Reply:
-        """One request on a connection of its own."""
+        """Send one request on a separate connection and return the reply."""
         replies: list[Reply | None] = []
         client = BatchClient(self.loop, self.public, "tester")
         call(client, replies.append)
@@ -136,39 +140,45 @@
         self, queue: str = "billing", life_s: float = 30, account: str = "north", service: str = "",
         extra: list[Attr] | None = None, cpus: float = 1.0,
     ) -> str:  # fmt: skip
-        told: list[tuple[str, str]] = []
+        """Submit a job and return its identifier."""
+        results: list[tuple[str, str]] = []
         attrs = attributes("work", service or f"{queue}-1", cpus, 1.0, life_s, account) + (extra or [])
         Submission(
-            self.loop, self.public, queue, attrs, b"#!/bin/sh\ntrue\n", lambda j, w: told.append((j, w))
+            self.loop, self.public, queue, attrs, b"#!/bin/sh\ntrue\n", lambda j, w: results.append((j, w))
         )
-        self.until(lambda: told)
-        assert told[0][0], told[0][1]
-        return told[0][0]
+        self.until(lambda: results)
+        assert results[0][0], results[0][1]
+        return results[0][0]
 
     def delete(self, job: str) -> Reply:
-        return self.ask(lambda client, told: client.delete(job, told))
+        """Delete a job."""
+        return self.ask(lambda client, on_reply: client.delete(job, on_reply))
 
     def row(self, job: str) -> Row:
-        return self.ask(lambda client, told: client.status(told, job)).rows[0]
+        """Return the status row of a job."""
+        return self.ask(lambda client, on_reply: client.status(on_reply, job)).rows[0]
 
     def wait(self, job: str, state: str, seconds: float = 20) -> Row:
+        """Wait until a job has the state; return its status row."""
         self.until(lambda: self.row(job).get("job_state") == state, seconds)
         return self.row(job)
 
     def wait_answer(self, job: str, answer: str) -> Row:
+        """Wait for the answer to a job's placement and check it; return the job's status row."""
         self.until(lambda: self.row(job).get("placement"))
         row = self.row(job)
         assert row.get("placement") == answer, (row.get("placement"), row.get("comment"))
         return row
 
     def live(self, job: str) -> list[str]:
-        """Nodes on which the job was committed and has not ended."""
+        """Return the nodes on which the job was committed and has not ended."""
         return [
             name for name, agent in self.agents.items() for key, held in agent.jobs.items()
             if key[0] == job and held.state != "T"
         ]  # fmt: skip
 
     def close(self) -> None:
+        """Close every daemon, node and socket."""
         for daemon in self.daemons.values():
             daemon.close()
         for agent in self.agents.values():
