--- a/ladderhub/server/daemon.py
+++ b/ladderhub/server/daemon.py
@@ -32,7 +32,7 @@
 MS, S = 1_000_000, 1_000_000_000
 SWEEP_INTERVAL_NS = 1 * S
 SETTLED_CHECK_INTERVAL_NS = 50 * MS
-CLOSE_DELAY_NS = 100 * MS
+CLOSE_DELAY_NS = 100 * MS  # for the last replies to be written
 
 
 class Daemon:
