--- a/ladderhub/server/nodelist.py
+++ b/ladderhub/server/nodelist.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ladderhub.directory.wire import DirectoryError, Entry, Lines, Listed, Watch, encode
+from ladderhub.directory.wire import DirectoryError, Entry, Listed, MessageDecoder, Watch, encode
 from ladderhub.interface import ListKind
 from ladderhub.loop import Loop, Stream
 from ladderhub.loop.stream import Address
@@ -41,7 +41,7 @@
         self.version = 0
         self.connected = False
         self._stream: Stream | None = None
-        self._lines = Lines()
+        self._decoder = MessageDecoder()
         self._retry_delay_ns = RETRY_DELAY_RANGE_NS[0]
         self._closed = self._dirty = False
 
@@ -56,7 +56,7 @@
 
     def _connect(self) -> None:
         if not self._closed:
-            self._lines = Lines()
+            self._decoder = MessageDecoder()
             self._stream = connect_counted(
                 self._loop, self._address, self, CONNECT_TIMEOUT_NS, self._on_connected, self._count
             )
@@ -69,7 +69,7 @@
 
     def on_data(self, stream: Stream, data: bytes) -> None:
         try:
-            for message in self._lines.feed(data):
+            for message in self._decoder.feed(data):
                 self._count.messages_in += 1
                 if not isinstance(message, Listed) or message.kind not in ("full", "changes"):
                     raise DirectoryError("only lists are expected from the directory")
