--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -16,7 +16,7 @@
 from ladderhub.rollout import Rollouts
 from ladderhub.rollout import types as t
 
-S, MS = t.S, 1_000_000
+S, MS = t.SECOND_NS, 1_000_000
 END_NS, START_NS, HEALTHY_NS = 100 * MS, 400 * MS, 5 * S
 
 
@@ -24,7 +24,7 @@
     """Events by time.  `bad`: a version whose copies end by themselves soon after their start."""
 
     def __init__(self, slots: int, seed: int, bad: int = -1) -> None:
-        self.rollouts = Rollouts(t.RolloutSettings(most_at_once=slots))
+        self.rollouts = Rollouts(t.RolloutSettings(max_replacing_slots=slots))
         self.random = random.Random(seed)
         self.now, self.bad = 0, bad
         self.tie = counter()
@@ -48,19 +48,19 @@
                     self.later(span + S, t.Ended(action.copy, t.End.DONE))
             elif isinstance(action, t.StopCopy):
                 self.later(round(END_NS * self.random.uniform(0.7, 1.3)), t.Ended(action.copy, t.End.DONE))
-            elif isinstance(action, t.Wake):
-                heapq.heappush(self.queue, (action.at_ns, next(self.tie), t.Due()))
+            elif isinstance(action, t.SetTimer):
+                heapq.heappush(self.queue, (action.at_ns, next(self.tie), t.TimerFired()))
 
     def later(self, span: int, event: t.Event) -> None:
         heapq.heappush(self.queue, (self.now + span, next(self.tie), event))
 
-    def run(self) -> t.View:
+    def run(self) -> t.ServiceStatus:
         while self.queue:
             self.now, _, event = heapq.heappop(self.queue)
             self.feed(event)
             if self.rollouts.services["svc"].stage is not t.Stage.GOING:
                 break
-        return self.rollouts.view(self.now, "svc")
+        return self.rollouts.get_status(self.now, "svc")
 
 
 def main() -> int:
--- a/ladderhub/rollout/checks.py
+++ b/ladderhub/rollout/checks.py
@@ -11,24 +11,24 @@
 Services = Mapping[str, Service]
 
 
-def reason_against(event: t.Event, services: Services) -> str:
+def find_error(event: t.Event, services: Services) -> str:
     """Why the event can't be taken, naming the field; "" where it can."""
     if isinstance(event, t.Declared):
         return (
-            _wrong_value(event)
-            or _wrong_for_effect(event.rules.effect, event.limits)
-            or _wrong_for_service(event, services.get(event.rules.name))
+            _check_values(event)
+            or _check_effect(event.rules.effect, event.limits)
+            or _check_existing_service(event, services.get(event.rules.name))
         )
     if isinstance(event, t.Pause | t.Resume | t.Abort | t.Removed):
         service = services.get(event.service)
         if service is None:
             known = ", ".join(services) or "none"
             return f"service: found {event.service!r}; one that is declared is meant: {known}"
-        return _wrong_for_stage(event, service)
+        return _check_stage(event, service)
     return ""
 
 
-def _wrong_for_stage(event: t.Pause | t.Resume | t.Abort | t.Removed, service: Service) -> str:
+def _check_stage(event: t.Pause | t.Resume | t.Abort | t.Removed, service: Service) -> str:
     if isinstance(event, t.Pause) and service.stage is not t.Stage.GOING:
         return f"{event.service}: no update is going"
     if isinstance(event, t.Resume) and service.stage is not t.Stage.PAUSED:
@@ -38,7 +38,7 @@
     return ""
 
 
-def _wrong_value(event: t.Declared) -> str:
+def _check_values(event: t.Declared) -> str:
     rules, limits = event.rules, event.limits
     for name, value, least in (
         ("count", rules.count, 1),
@@ -56,7 +56,7 @@
     return ""
 
 
-def _wrong_for_effect(effect: Effect, limits: t.Limits) -> str:
+def _check_effect(effect: Effect, limits: t.Limits) -> str:
     kind = effect.value
     if effect is Effect.UNSAFE and limits.surplus:
         return f"update.surplus: found {limits.surplus}; 0 is meant: copies of {kind} work never overlap"
@@ -67,7 +67,7 @@
     return ""
 
 
-def _wrong_for_service(event: t.Declared, service: Service | None) -> str:
+def _check_existing_service(event: t.Declared, service: Service | None) -> str:
     """Against the service as it is declared now, if it is."""
     rules = event.rules
     if service is None:
@@ -76,7 +76,7 @@
         return f"service: {rules.name} is being removed"
     if rules.count < service.rules.count:
         return f"count: found {rules.count}; at least {service.rules.count} is meant, as many as run"
-    if (rules.effect, rules.repeat_ns) != (service.rules.effect, service.rules.repeat_ns):
+    if (rules.effect, rules.dedupe_window_ns) != (service.rules.effect, service.rules.dedupe_window_ns):
         return "queue: a service stays with the class it was declared with"
     if service.stage is not t.Stage.OVER and event.if_busy is t.IfBusy.REFUSE:
         stage = service.stage.value
--- a/ladderhub/rollout/decide.py
+++ b/ladderhub/rollout/decide.py
@@ -11,12 +11,12 @@
 from __future__ import annotations
 
 from ladderhub.rollout import types as t
-from ladderhub.rollout.checks import reason_against
-from ladderhub.rollout.pace import StartPace
+from ladderhub.rollout.checks import find_error
+from ladderhub.rollout.start_limiter import StartLimiter
 from ladderhub.rollout.progress import Progress
 from ladderhub.rollout.service import Service
 from ladderhub.rollout.state import RolloutState, TimerKind
-from ladderhub.rollout.status import waits
+from ladderhub.rollout.status import iter_wait_reasons
 from ladderhub.rollout.types import CopyState
 
 _PLACED_STATES = (CopyState.RUNNING, CopyState.HEALTHY, CopyState.UNREACHABLE)
@@ -28,7 +28,7 @@
     def __init__(self, settings: t.RolloutSettings) -> None:
         self._state = RolloutState(settings)
         self._progress = Progress(self._state)
-        self._next_wake_ns = -1  # the earliest wake that is out
+        self._next_timer_ns = -1  # the earliest wake that is out
 
     @property
     def settings(self) -> t.RolloutSettings:
@@ -39,21 +39,21 @@
         return self._state.services
 
     @property
-    def pace(self) -> StartPace:
-        return self._state.pace
+    def start_limiter(self) -> StartLimiter:
+        return self._state.start_limiter
 
     # --- what others may look at ----------------------------------------------------------------------------
 
     def check(self, event: t.Event) -> str:
         """Why the event can't be taken, naming the field; "" where it can.  Nothing is touched."""
-        return reason_against(event, self._state.services)
+        return find_error(event, self._state.services)
 
-    def view(self, now_ns: int, name: str) -> t.View:
+    def get_status(self, now_ns: int, name: str) -> t.ServiceStatus:
         """One service as `status` shows it; KeyError where it is not known."""
         service = self._state.services[name]
-        service.forget_old_failures(now_ns)
+        service.drop_old_failures(now_ns)
         new = sum(service.slots[index].has_healthy(service.version) for index in service.healthy)
-        return t.View(
+        return t.ServiceStatus(
             service=name,
             count=service.rules.count,
             version=service.version,
@@ -61,18 +61,22 @@
             stage=service.stage,
             new=new,
             old=len(service.healthy) - new,
-            down=service.down(),
+            down=service.count_unhealthy(),
             alive=service.alive,
-            waits=tuple(waits(now_ns, service, self._state.pace, self._progress.shared_budget_spent())),
-            failures=len(service.failed),
-            window=int(self._state.pace.window),
+            wait_reasons=tuple(
+                iter_wait_reasons(
+                    now_ns, service, self._state.start_limiter, self._progress.is_shared_budget_spent()
+                )
+            ),
+            failures=len(service.failure_times_ns),
+            window=int(self._state.start_limiter.window),
         )
 
-    def mean_start_ns(self) -> int:
+    def get_mean_start_ns(self) -> int:
         """What a start took on average, as learned; 0 before the first."""
-        return round(self._state.pace.mean_ns)
+        return round(self._state.start_limiter.mean_ns)
 
-    def copies(self, name: str) -> list[t.Copy]:
+    def get_copies(self, name: str) -> list[t.Copy]:
         """All copies of a service that may be alive, by slot."""
         return [copy for slot in self._state.services[name].slots for copy in slot.copies]
 
@@ -88,14 +92,14 @@
         self._on_event(now_ns, event)
         self._run_timers(now_ns)
         self._progress.advance(now_ns)
-        self._ask_for_wake()
+        self._set_next_timer()
         return self._state.actions
 
-    def _ask_for_wake(self) -> None:
+    def _set_next_timer(self) -> None:
         at_ns = self._state.next_timer_ns()
-        if at_ns is not None and (self._next_wake_ns < 0 or at_ns < self._next_wake_ns):
-            self._next_wake_ns = at_ns
-            self._state.actions.append(t.Wake(at_ns))
+        if at_ns is not None and (self._next_timer_ns < 0 or at_ns < self._next_timer_ns):
+            self._next_timer_ns = at_ns
+            self._state.actions.append(t.SetTimer(at_ns))
 
     def _on_event(self, now: int, event: t.Event) -> None:
         match event:
@@ -103,11 +107,11 @@
                 self._on_declared(event)
             case t.Restored():
                 self._on_restored(event)
-            case t.Found():
+            case t.RunFound():
                 self._on_found(now, event)
-            case t.Settled():
+            case t.AllNodesReported():
                 for service in self._state.services.values():
-                    service.frozen = False
+                    service.awaits_node_reports = False
             case t.Pause():
                 self._state.pause(self._state.services[event.service], "by its operator")
             case t.Resume():
@@ -122,34 +126,34 @@
                 self._on_node_back(now, event.node)
             case t.SettingsChanged():
                 self._state.settings = event.settings
-            case t.Due():
-                self._next_wake_ns = -1
+            case t.TimerFired():
+                self._next_timer_ns = -1
             case _:
-                self._on_copy(now, event)
+                self._on_copy_event(now, event)
 
     def _on_declared(self, event: t.Declared) -> None:
         service = self._state.services.get(event.rules.name)
         if service is None:
             service = Service(event.rules, event.version, event.limits)
             self._state.services[event.rules.name] = service
-            self._state.note(service, "declared", f"{event.rules.count} copies of version {event.version}")
+            self._state.log(service, "declared", f"{event.rules.count} copies of version {event.version}")
         elif service.stage is not t.Stage.OVER and event.if_busy is t.IfBusy.QUEUE:
             service.queued = (event.version, event.limits)
             text = f"version {event.version} follows the update that is under way"
-            self._state.note(service, "queued", text)
+            self._state.log(service, "queued", text)
         else:
             service.grow(event.rules)
             self._state.begin_update(service, event.version, event.limits)
-        self._state.keep(service)
+        self._state.persist(service)
 
     def _on_restored(self, event: t.Restored) -> None:
         service = Service(event.rules, event.version, event.limits)
         service.previous, service.queued = event.previous, event.queued
-        service.stage, service.why = event.stage, event.why
-        service.frozen = True
+        service.stage, service.pause_reason = event.stage, event.pause_reason
+        service.awaits_node_reports = True
         self._state.services[event.rules.name] = service
 
-    def _on_found(self, now: int, event: t.Found) -> None:
+    def _on_found(self, now: int, event: t.RunFound) -> None:
         service = self._state.services.get(event.service)
         if service is None or event.copy in self._state.copies:
             return
@@ -161,38 +165,38 @@
             slot=slot.index,
             version=event.version,
             state=CopyState.RUNNING,
-            asked_ns=now,
+            requested_ns=now,
             node=event.node,
             rack=event.rack,
             placed_ns=now,
         )
-        self._state.add(service, copy)
-        slot.settled = event.version
+        self._state.add_copy(service, copy)
+        slot.last_healthy_version = event.version
         if not has_slot:
-            self._state.stop(now, service, copy)
+            self._state.stop_copy(now, service, copy)
         self._state.set_timer(now + service.limits.healthy_ns, TimerKind.HEALTHY, service, event.copy)
 
     def _on_resume(self, service: Service) -> None:
-        service.stage, service.why = t.Stage.GOING, ""
-        service.forgive_failures()
-        self._state.note(service, "resumed", "")
-        self._state.keep(service)
+        service.stage, service.pause_reason = t.Stage.GOING, ""
+        service.clear_failures()
+        self._state.log(service, "resumed", "")
+        self._state.persist(service)
 
     def _on_abort(self, service: Service) -> None:
         failing = service.version
         service.queued = None
         self._state.begin_update(service, service.previous, service.limits)
         service.previous = failing
-        self._state.note(service, "aborted", f"back from {failing} to {service.version}")
-        self._state.keep(service)
+        self._state.log(service, "aborted", f"back from {failing} to {service.version}")
+        self._state.persist(service)
 
     def _on_removed(self, now: int, service: Service) -> None:
         service.removed, service.queued = True, None
         for slot in service.slots:
             for copy in list(slot.copies):
-                self._state.stop(now, service, copy)
-        self._state.keep(service)
-        self._state.forget_removed(service)
+                self._state.stop_copy(now, service, copy)
+        self._state.persist(service)
+        self._state.delete_if_removed(service)
 
     def _on_node_gone(self, node: str) -> None:
         for service, copy in list(self._state.copies.values()):
@@ -202,12 +206,12 @@
     def _on_node_back(self, now: int, node: str) -> None:
         for service, copy in list(self._state.copies.values()):
             if copy.node == node and copy.state is CopyState.UNREACHABLE:
-                self._state.runs(now, service, copy)
+                self._state.set_running(now, service, copy)
 
     # --- copies ---------------------------------------------------------------------------------------------
 
-    def _on_copy(self, now: int, event: t.Event) -> None:
-        assert isinstance(event, t.Placed | t.Unplaced | t.Ended | t.Proven)
+    def _on_copy_event(self, now: int, event: t.Event) -> None:
+        assert isinstance(event, t.Placed | t.Unplaced | t.Ended | t.EndConfirmed)
         known = self._state.copies.get(event.copy)
         if known is None:
             return
@@ -217,51 +221,51 @@
                 self._on_placed(now, service, copy, event)
             case t.Unplaced():
                 if copy.state in _PLACED_STATES:
-                    copy.asked_ns = now
-                    self._state.transition(service, copy, CopyState.ASKED)
+                    copy.requested_ns = now
+                    self._state.transition(service, copy, CopyState.PENDING)
             case t.Ended():
                 self._on_ended(now, service, copy, event)
-            case t.Proven():
+            case t.EndConfirmed():
                 if copy.state is CopyState.UNKNOWN:
                     self._state.transition(service, copy, CopyState.ENDED)
-        self._state.forget_removed(service)
+        self._state.delete_if_removed(service)
 
     def _on_placed(self, now: int, service: Service, copy: t.Copy, event: t.Placed) -> None:
         copy.node, copy.rack = event.node, event.rack
-        if copy.state is CopyState.ASKED:
-            self._state.pace.on_started(now, now - copy.asked_ns)
-            self._state.runs(now, service, copy)
+        if copy.state is CopyState.PENDING:
+            self._state.start_limiter.on_started(now, now - copy.requested_ns)
+            self._state.set_running(now, service, copy)
 
     def _on_ended(self, now: int, service: Service, copy: t.Copy, event: t.Ended) -> None:
         if copy.state in (CopyState.UNKNOWN, CopyState.ENDED):
             return
         unexpected = copy.state is not CopyState.STOPPING
-        if copy.state is CopyState.ASKED and event.end is not t.End.DONE:
-            self._state.pace.on_pressure(now)
+        if copy.state is CopyState.PENDING and event.end is not t.End.DONE:
+            self._state.start_limiter.on_pressure(now)
         if unexpected:
             self._back_off(now, service, service.slots[copy.slot])
-        self._state.transition(service, copy, CopyState.ENDED if event.proven else CopyState.UNKNOWN)
+        self._state.transition(service, copy, CopyState.ENDED if event.confirmed else CopyState.UNKNOWN)
         is_new = copy.version == service.version and service.stage is t.Stage.GOING
         if unexpected and event.end is t.End.DONE and is_new:
-            self._on_failed(now, service, copy)
+            self._on_copy_failed(now, service, copy)
 
     def _back_off(self, now: int, service: Service, slot: t.Slot) -> None:
         """The slot's copy ended: wait before the next one, longer each time."""
-        first, most = self._state.settings.back_first_ns, self._state.settings.back_most_ns
-        slot.back_ns = min(most, 2 * slot.back_ns) if slot.back_ns else first
-        slot.not_before_ns = now + slot.back_ns
+        first, most = self._state.settings.min_backoff_ns, self._state.settings.max_backoff_ns
+        slot.backoff_ns = min(most, 2 * slot.backoff_ns) if slot.backoff_ns else first
+        slot.not_before_ns = now + slot.backoff_ns
         self._state.set_timer(slot.not_before_ns, TimerKind.BACKOFF, service, slot.index)
 
-    def _on_failed(self, now: int, service: Service, copy: t.Copy) -> None:
+    def _on_copy_failed(self, now: int, service: Service, copy: t.Copy) -> None:
         """A copy of the new version ended by itself: pause the update where too many did."""
-        service.failed.append(now)
-        service.forget_old_failures(now)
-        limits, failed = service.limits, len(service.failed)
-        tried = max(len(service.tried), failed)
+        service.failure_times_ns.append(now)
+        service.drop_old_failures(now)
+        limits, failed = service.limits, len(service.failure_times_ns)
+        tried = max(len(service.start_times_ns), failed)
         where = copy.node or "no node"
-        self._state.note(service, "failed", f"slot {copy.slot}: version {copy.version} ended at {where}")
+        self._state.log(service, "failed", f"slot {copy.slot}: version {copy.version} ended at {where}")
         if failed >= limits.failures or (failed > 1 and failed / tried > limits.failed_share):
-            window_s = limits.window_ns / t.S
+            window_s = limits.window_ns / t.SECOND_NS
             self._state.pause(service, f"{failed} of {tried} new copies failed within {window_s:g} s")
 
     # --- time -----------------------------------------------------------------------------------------------
@@ -272,11 +276,11 @@
             if service is None:
                 continue
             if timer.kind is TimerKind.HEALTHY:
-                self._judge_health(now, service, timer.number)
+                self._check_health(now, service, timer.number)
             elif timer.kind is TimerKind.BACKOFF and timer.number < len(service.slots):
                 self._end_backoff(now, service, service.slots[timer.number])
 
-    def _judge_health(self, now: int, service: Service, number: int) -> None:
+    def _check_health(self, now: int, service: Service, number: int) -> None:
         known = self._state.copies.get(number)
         if known is None or known[1].state is not CopyState.RUNNING:
             return
--- a/ladderhub/rollout/plan.py
+++ b/ladderhub/rollout/plan.py
@@ -6,7 +6,7 @@
 from math import ceil
 
 from ladderhub.interface import Effect
-from ladderhub.rollout.types import Limits, ServiceRules, S
+from ladderhub.rollout.types import SECOND_NS, Limits, ServiceRules
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,12 +20,14 @@
     bound: str
 
 
-def plan(rules: ServiceRules, limits: Limits, most_at_once: int, start_ns: int, end_ns: int) -> Plan:
+def plan_update(
+    rules: ServiceRules, limits: Limits, max_replacing_slots: int, start_ns: int, end_ns: int
+) -> Plan:
     """`start_ns` and `end_ns`: how long a start and an end take on average, 0 where it is not known yet."""
     surplus = limits.surplus if rules.effect is Effect.SAFE else 0
     widths = {
         "update.down" + (" and update.surplus" if surplus else ""): limits.down + surplus,
-        "the budget that all updates share": most_at_once,
+        "the budget that all updates share": max_replacing_slots,
         "count": rules.count,
     }
     if limits.wave:
@@ -37,7 +39,7 @@
     rounds = sum(ceil(min(a_wave, rules.count - at * a_wave) / at_once) for at in range(waves))
     span = start_ns + end_ns + limits.healthy_ns
     if limits.healthy_ns > start_ns + end_ns and rounds * limits.healthy_ns > (waves - 1) * limits.spacing_ns:
-        bound += f", each held for update.healthy ({limits.healthy_ns / S:g} s)"
+        bound += f", each held for update.healthy ({limits.healthy_ns / SECOND_NS:g} s)"
     elif (waves - 1) * limits.spacing_ns > rounds * span:
         bound = "update.spacing"
     return Plan(at_once, waves, rounds * span + (waves - 1) * limits.spacing_ns, bound)
--- a/ladderhub/rollout/service.py
+++ b/ladderhub/rollout/service.py
@@ -32,10 +32,10 @@
     def __init__(self, rules: t.ServiceRules, version: int, limits: t.Limits) -> None:
         self.rules, self.version, self.limits = rules, version, limits
         self.previous = NO_VERSION
-        self.stage, self.why = t.Stage.GOING, ""
+        self.stage, self.pause_reason = t.Stage.GOING, ""
         self.queued: tuple[int, t.Limits] | None = None  # the update that follows
         self.removed = False
-        self.frozen = False  # nodes have not all said what they run
+        self.awaits_node_reports = False  # nodes have not all said what they run
         self.slots = [t.Slot(index) for index in range(rules.count)]
         self.by_kind: dict[SlotKind, dict[int, None]] = {kind: {} for kind in SlotKind}
         self.by_kind[SlotKind.EMPTY] = dict.fromkeys(range(rules.count))
@@ -47,28 +47,28 @@
         self.replacing: dict[int, None] = {}  # slots in replacement
         self.wave_left = limits.wave
         self.next_wave_ns = 0
-        self.failed: deque[int] = deque()  # when copies of the new version failed
-        self.tried: deque[int] = deque()  # when copies of the new version were started
+        self.failure_times_ns: deque[int] = deque()  # when copies of the new version failed
+        self.start_times_ns: deque[int] = deque()  # when copies of the new version were started
         self.last_grant = 0
 
     # --- figures ----------------------------------------------------------------------------------------
 
-    def down(self) -> int:
+    def count_unhealthy(self) -> int:
         """Slots without a healthy copy."""
         return self.rules.count - len(self.healthy)
 
-    def max_alive(self) -> int:
+    def compute_max_alive(self) -> int:
         return self.rules.count + self.limits.surplus
 
     def may_surge(self) -> bool:
         """May a new copy run beside an old one?"""
-        return self.rules.effect is Effect.SAFE and self.alive < self.max_alive()
+        return self.rules.effect is Effect.SAFE and self.alive < self.compute_max_alive()
 
     def limits_allow_replacement(self) -> bool:
         """Whether the limits let one more healthy old copy be replaced."""
-        return self.may_surge() or self.down() < self.limits.down
+        return self.may_surge() or self.count_unhealthy() < self.limits.down
 
-    def max_replacing(self) -> int:
+    def compute_max_replacing(self) -> int:
         """How many slots may be in replacement while the version has yet to show that it runs.
 
         Danger: a version that fails everywhere takes all that the limits allow down at once.  At first twice
@@ -76,9 +76,9 @@
         healthy = len(self.by_kind[SlotKind.UPDATED]) + len(self.by_kind[SlotKind.SURGED])
         return max(2 * self.limits.failures, COPIES_TRIED_PER_HEALTHY * healthy)
 
-    def forget_old_failures(self, now: int) -> None:
+    def drop_old_failures(self, now: int) -> None:
         """Drop what lies before the window in which failures are counted."""
-        for times in (self.failed, self.tried):
+        for times in (self.failure_times_ns, self.start_times_ns):
             while times and now - times[0] > self.limits.window_ns:
                 times.popleft()
 
@@ -98,14 +98,14 @@
         if self.stage is t.Stage.OVER:
             self.previous = self.version
         self.version, self.limits = version, limits
-        self.stage, self.why = t.Stage.GOING, ""
+        self.stage, self.pause_reason = t.Stage.GOING, ""
         self.wave_left, self.next_wave_ns = limits.wave, 0
         self.replacing.clear()
-        self.forgive_failures()
+        self.clear_failures()
 
-    def forgive_failures(self) -> None:
-        self.failed.clear()
-        self.tried.clear()
+    def clear_failures(self) -> None:
+        self.failure_times_ns.clear()
+        self.start_times_ns.clear()
         self.reclassify_all()
 
     def reclassify_all(self) -> None:
@@ -154,5 +154,5 @@
             return SlotKind.UPDATED if len(copies) == 1 else SlotKind.SURGED
         if new:
             return SlotKind.STARTING
-        unplaced = all(copy.state is CopyState.ASKED for copy in wanted)
+        unplaced = all(copy.state is CopyState.PENDING for copy in wanted)
         return SlotKind.UNPLACED if unplaced else SlotKind.OLD
--- a/ladderhub/rollout/pace.py
+++ b/ladderhub/rollout/start_limiter.py
@@ -3,20 +3,20 @@
 from __future__ import annotations
 
 SLOW_FACTOR = 4.0  # a start that takes so many times the average tells of a fleet under pressure
-FIRST_WINDOW = 2.0
+INITIAL_WINDOW = 2.0
 AVERAGED_STARTS = 20
 
 
-class StartPace:
+class StartLimiter:
     """A window of starts: grows with each start, halves when starts are refused or slow.
 
     Learned, not set: it doubles until the first sign of pressure, and grows by one a round after it."""
 
     def __init__(self) -> None:
-        self.window = FIRST_WINDOW
+        self.window = INITIAL_WINDOW
         self.pending = 0  # starts that are under way
         self.mean_ns = 0.0
-        self._slow_growth_above = float("inf")
+        self._slow_start_threshold = float("inf")
         self._ignore_pressure_until_ns = 0  # signs of the same moment count once
 
     def on_started(self, now: int, start_ns: int) -> None:
@@ -24,7 +24,7 @@
         if self.mean_ns and start_ns > SLOW_FACTOR * self.mean_ns:
             self.on_pressure(now)
         else:
-            self.window += 1 if self.window < self._slow_growth_above else 1 / self.window
+            self.window += 1 if self.window < self._slow_start_threshold else 1 / self.window
         if self.mean_ns:
             self.mean_ns += (start_ns - self.mean_ns) / AVERAGED_STARTS
         else:
@@ -32,7 +32,7 @@
 
     def on_pressure(self, now: int) -> None:
         if now >= self._ignore_pressure_until_ns:
-            self.window = self._slow_growth_above = max(1.0, self.window / 2)
+            self.window = self._slow_start_threshold = max(1.0, self.window / 2)
             self._ignore_pressure_until_ns = now + round(self.mean_ns)
 
     def may_start(self, terminating: int) -> bool:
--- a/ladderhub/rollout/types.py
+++ b/ladderhub/rollout/types.py
@@ -7,7 +7,7 @@
 
 from ladderhub.interface import Effect
 
-S = 1_000_000_000
+SECOND_NS = 1_000_000_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,41 +24,41 @@
     surplus: int = 0
     wave: int = 0
     spacing_ns: int = 0
-    healthy_ns: int = 10 * S
+    healthy_ns: int = 10 * SECOND_NS
     failures: int = 3
     failed_share: float = 1.0
-    window_ns: int = 300 * S
+    window_ns: int = 300 * SECOND_NS
     priority: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceRules:
-    """What a service is: `effect` of its class; `repeat_ns`: how long repeats of a keyed copy are
+    """What a service is: `effect` of its class; `dedupe_window_ns`: how long repeats of a keyed copy are
     discarded."""
 
     name: str
     count: int
     effect: Effect
-    repeat_ns: int = 0
+    dedupe_window_ns: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutSettings:
-    """Of all updates together: `most_at_once` copies may be in replacement at a time; every `turn`-th grant
-    goes to the update that waited longest, whatever its priority.  A slot whose copy ended is filled again
-    after `back_first_ns`, doubling to `back_most_ns`."""
+    """Of all updates together: `max_replacing_slots` copies may be in replacement at a time; every
+    `longest_wait_every`-th grant goes to the update that waited longest, whatever its priority.  A slot whose
+    copy ended is filled again after `min_backoff_ns`, doubling to `max_backoff_ns`."""
 
-    most_at_once: int = 50
-    turn: int = 4
-    back_first_ns: int = 1 * S
-    back_most_ns: int = 60 * S
+    max_replacing_slots: int = 50
+    longest_wait_every: int = 4
+    min_backoff_ns: int = 1 * SECOND_NS
+    max_backoff_ns: int = 60 * SECOND_NS
 
     def __post_init__(self) -> None:
-        if self.most_at_once < 1:
+        if self.max_replacing_slots < 1:
             raise ValueError("most_at_once: must be at least 1")
-        if self.turn < 2:
+        if self.longest_wait_every < 2:
             raise ValueError("turn: must be at least 2")
-        if not 0 <= self.back_first_ns <= self.back_most_ns:
+        if not 0 <= self.min_backoff_ns <= self.max_backoff_ns:
             raise ValueError("back_first_ns: must be from 0 to back_most_ns")
 
 
@@ -108,19 +108,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Restored:
-    """A service of an earlier life of this scheduler; nothing is done before `Settled`."""
+    """A service of an earlier life of this scheduler; nothing is done before `AllNodesReported`."""
 
     rules: ServiceRules
     version: int
     previous: int
     limits: Limits
     stage: Stage
-    why: str = ""
+    pause_reason: str = ""
     queued: tuple[int, Limits] | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class RunFound:
     """A run of an earlier life was found; `copy` is a number that no action has named."""
 
     service: str
@@ -132,7 +132,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Settled:
+class AllNodesReported:
     """Every node has said what it runs."""
 
 
@@ -168,15 +168,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Ended:
-    """The copy is over; `proven`: no run of it can be alive."""
+    """The copy is over; `confirmed`: no run of it can be alive."""
 
     copy: int
     end: End
-    proven: bool = True
+    confirmed: bool = True
 
 
 @dataclass(frozen=True, slots=True)
-class Proven:
+class EndConfirmed:
     """An ended copy is known not to run anywhere."""
 
     copy: int
@@ -209,13 +209,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Due:
-    """A `Wake` came due."""
+class TimerFired:
+    """A `SetTimer` came due."""
 
 
 Event = (
-    Declared | Restored | Found | Settled | Placed | Unplaced | NodeGone | NodeBack | Ended | Proven | Pause
-    | Resume | Abort | Removed | Due | SettingsChanged
+    Declared | Restored | RunFound | AllNodesReported | Placed | Unplaced | NodeGone | NodeBack | Ended
+    | EndConfirmed | Pause | Resume | Abort | Removed | TimerFired | SettingsChanged
 )  # fmt: skip
 
 
@@ -240,14 +240,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wake:
-    """Give a `Due` at or after this moment; earlier wakes stay."""
+class SetTimer:
+    """Give a `TimerFired` at or after this moment; earlier wakes stay."""
 
     at_ns: int
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class Log:
     """For the log."""
 
     service: str
@@ -256,13 +256,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Keep:
+class Persist:
     """What is declared of this service has changed and must last; gone where it is not known any more."""
 
     service: str
 
 
-Action = StartCopy | StopCopy | Wake | Note | Keep
+Action = StartCopy | StopCopy | SetTimer | Log | Persist
 
 
 # --- state ------------------------------------------------------------------------------------------------
@@ -271,7 +271,7 @@
 class CopyState(Enum):
     """Where a copy stands."""
 
-    ASKED = "asked"  # being placed
+    PENDING = "asked"  # being placed
     RUNNING = "running"
     HEALTHY = "healthy"
     UNREACHABLE = "unreachable"  # its node is gone; it may run there
@@ -284,25 +284,25 @@
 
 
 _TRANSITIONS = {
-    CopyState.ASKED: {CopyState.RUNNING, CopyState.STOPPING, CopyState.UNKNOWN, CopyState.ENDED},
+    CopyState.PENDING: {CopyState.RUNNING, CopyState.STOPPING, CopyState.UNKNOWN, CopyState.ENDED},
     CopyState.RUNNING: {
         CopyState.HEALTHY,
         CopyState.UNREACHABLE,
-        CopyState.ASKED,
+        CopyState.PENDING,
         CopyState.STOPPING,
         CopyState.UNKNOWN,
         CopyState.ENDED,
     },
     CopyState.HEALTHY: {
         CopyState.UNREACHABLE,
-        CopyState.ASKED,
+        CopyState.PENDING,
         CopyState.STOPPING,
         CopyState.UNKNOWN,
         CopyState.ENDED,
     },
     CopyState.UNREACHABLE: {
         CopyState.RUNNING,
-        CopyState.ASKED,
+        CopyState.PENDING,
         CopyState.STOPPING,
         CopyState.UNKNOWN,
         CopyState.ENDED,
@@ -321,7 +321,7 @@
     slot: int
     version: int
     state: CopyState
-    asked_ns: int
+    requested_ns: int
     node: str = ""
     rack: str = ""
     placed_ns: int = 0
@@ -337,8 +337,8 @@
 
     index: int
     copies: list[Copy] = field(default_factory=list)  # those that may be alive
-    settled: int = -1  # the version that was last healthy here
-    back_ns: int = 0
+    last_healthy_version: int = -1  # the version that was last healthy here
+    backoff_ns: int = 0
     not_before_ns: int = 0
 
     def has_healthy(self, version: int) -> bool:
@@ -346,7 +346,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class View:
+class ServiceStatus:
     """What `status` shows of one service."""
 
     service: str
@@ -358,6 +358,6 @@
     old: int  # slots whose healthy copy has another
     down: int  # slots without a healthy copy
     alive: int  # runs that may be alive
-    waits: tuple[str, ...]
+    wait_reasons: tuple[str, ...]
     failures: int
     window: int  # starts that may be under way, as learned
--- a/ladderhub/server/daemon.py
+++ b/ladderhub/server/daemon.py
@@ -51,7 +51,7 @@
         self.members = Members(site, words, intake)
         self.nodes = self.members.list
         self.services = Services(site, intake, self.members)
-        KeptNames(site, self.services.queues, self.members.kinds)
+        KeptNames(site, self.services.get_queues, self.members.kinds)
         self.door = ClientDoor(site)
         operating = Operating(site, self.members, self.shut)
         operating.join(n.OBJ_SERVICE, self.services.serve)
--- a/ladderhub/server/services.py
+++ b/ladderhub/server/services.py
@@ -20,7 +20,7 @@
 from ladderhub.pbs.resources import ResourceError
 from ladderhub.rollout import Rollouts
 from ladderhub.rollout import types as t
-from ladderhub.rollout.plan import plan
+from ladderhub.rollout.plan import plan_update
 from ladderhub.server.door import Answer
 from ladderhub.server.intake import Intake
 from ladderhub.server.jobs import JobRecord
@@ -31,23 +31,23 @@
 from ladderhub.server.words import int_of
 from ladderhub.usage.processor import Cause
 
-SETTLED_LOOK_NS = 200_000_000
-SLOT, VERSION = "service_slot", "service_version"
-_NUMBERS = {"down": "down", "surplus": "surplus", "wave": "wave", "priority": "priority"}
-_SPANS = {"spacing": "spacing_ns", "healthy": "healthy_ns", "failures_window": "window_ns"}
-_WISHES: dict[str, type[t.Pause] | type[t.Resume] | type[t.Abort]] = {
+NODE_REPORT_POLL_NS = 200_000_000
+SLOT_ATTRIBUTE, VERSION_ATTRIBUTE = "service_slot", "service_version"
+_INTEGER_LIMITS = {"down": "down", "surplus": "surplus", "wave": "wave", "priority": "priority"}
+_DURATION_LIMITS = {"spacing": "spacing_ns", "healthy": "healthy_ns", "failures_window": "window_ns"}
+_ACTION_EVENTS: dict[str, type[t.Pause] | type[t.Resume] | type[t.Abort]] = {
     "pause": t.Pause, "resume": t.Resume, "abort": t.Abort,
 }  # fmt: skip
 
 
-class Version(msgspec.Struct):
+class StoredVersion(msgspec.Struct):
     """What the copies of one version are: attributes as (name, resource, value), and the script."""
 
     attrs: list[tuple[str, str, str]]
     script: bytes
 
 
-class Book(msgspec.Struct):
+class StoredService(msgspec.Struct):
     """A service as it lasts on disk."""
 
     name: str
@@ -58,7 +58,7 @@
     stage: str
     why: str
     limits: dict[str, float]
-    versions: dict[int, Version]
+    versions: dict[int, StoredVersion]
     queued: tuple[int, dict[str, float]] | None = None
     effect: str = ""  # of the class it was declared with, and for how long repeats are discarded
     repeat_ns: int = 0
@@ -78,29 +78,29 @@
         self._site, self._intake, self._members = site, intake, members
         self.rollouts = Rollouts(site.settings.rollouts)
         self._tell = site.dispatcher.register(self.rollouts, self)
-        self._books: dict[str, Book] = {}
-        self._record_of: dict[int, JobRecord] = {}  # copy -> its job
+        self._stored_services: dict[str, StoredService] = {}
+        self._job_of: dict[int, JobRecord] = {}  # copy -> its job
         self._copy_of: dict[int, int] = {}  # job number -> copy
-        self._doubtful: dict[int, int] = {}  # number of a job that is over -> copy that may be alive
-        self._found = 0  # copies of an earlier life have numbers below 0
-        self._wake: Timer | None = None
+        self._unconfirmed: dict[int, int] = {}  # number of a job that is over -> copy that may be alive
+        self._last_found_copy = 0  # copies of an earlier life have numbers below 0
+        self._timer: Timer | None = None
         self._path = site.folder / "services.json"
-        self.settled = True
-        site.on_placed.append(self._placed)
-        site.on_unplaced.append(self._unplaced)
-        site.on_finished.append(self._finished)
+        self.all_nodes_reported = True
+        site.on_placed.append(self._on_placed)
+        site.on_unplaced.append(self._on_unplaced)
+        site.on_finished.append(self._on_finished)
         site.on_node.append(lambda node, back: self._tell((t.NodeBack if back else t.NodeGone)(node)))
-        site.on_news.append(self._news)
+        site.on_news.append(self._on_job_update)
         site.on_settings.append(lambda: self._tell(t.SettingsChanged(site.settings.rollouts)))
-        site.metrics.gauge("services", "Services declared", lambda: len(self._books))
-        site.metrics.gauge("copies_down", "Copies of services without a healthy run", self._down)
+        site.metrics.gauge("services", "Services declared", lambda: len(self._stored_services))
+        site.metrics.gauge("copies_down", "Copies of services without a healthy run", self._count_copies_down)
 
-    def queues(self) -> set[str]:
+    def get_queues(self) -> set[str]:
         """Queues that have services."""
-        return {book.queue for book in self._books.values()}
+        return {stored.queue for stored in self._stored_services.values()}
 
-    def _down(self) -> int:
-        return sum(service.down() for service in self.rollouts.services.values())
+    def _count_copies_down(self) -> int:
+        return sum(service.count_unhealthy() for service in self.rollouts.services.values())
 
     # --- as a part ------------------------------------------------------------------------------------------
 
@@ -110,34 +110,38 @@
 
     def _restore(self) -> None:
         try:
-            books: list[Book] = msgspec.json.decode(self._path.read_bytes(), type=list[Book])
+            stored_services: list[StoredService] = msgspec.json.decode(
+                self._path.read_bytes(), type=list[StoredService]
+            )
         except FileNotFoundError:
             return
         except msgspec.MsgspecError as fault:
             raise SpoolError(str(fault), where=str(self._path), expected="what the scheduler left") from None
-        for book in books:
-            if not self._site.settings.queues.is_known(book.queue):
-                where = f"{self._path}: service {book.name}"
-                raise SpoolError(f"the queue {book.queue} is not known", where=where)
-            self._books[book.name] = book
-            queued = (book.queued[0], _limits_back(book.queued[1])) if book.queued is not None else None
-            rules = self._rules(book.name, book.queue, book.count)
-            if book.effect:
-                rules = t.ServiceRules(book.name, book.count, Effect(book.effect), book.repeat_ns)
-            limits, stage = _limits_back(book.limits), t.Stage(book.stage)
-            self._tell(t.Restored(rules, book.version, book.previous, limits, stage, book.why, queued))
-        if books:
-            self.settled = False
-            self._look_settled()
-
-    def _look_settled(self) -> None:
+        for stored in stored_services:
+            if not self._site.settings.queues.is_known(stored.queue):
+                where = f"{self._path}: service {stored.name}"
+                raise SpoolError(f"the queue {stored.queue} is not known", where=where)
+            self._stored_services[stored.name] = stored
+            queued = (
+                (stored.queued[0], _limits_from_dict(stored.queued[1])) if stored.queued is not None else None
+            )
+            rules = self._build_rules(stored.name, stored.queue, stored.count)
+            if stored.effect:
+                rules = t.ServiceRules(stored.name, stored.count, Effect(stored.effect), stored.repeat_ns)
+            limits, stage = _limits_from_dict(stored.limits), t.Stage(stored.stage)
+            self._tell(t.Restored(rules, stored.version, stored.previous, limits, stage, stored.why, queued))
+        if stored_services:
+            self.all_nodes_reported = False
+            self._poll_node_reports()
+
+    def _poll_node_reports(self) -> None:
         """Danger: copies that run and were not heard of yet would be started a second time."""
         if self._members.unheard() == set():
-            self.settled = True
+            self.all_nodes_reported = True
             self._site.log.info("rollout", what="settled", text="every node has said what it runs")
-            self._tell(t.Settled())
+            self._tell(t.AllNodesReported())
         elif not self._site.stopping:
-            self._site.loop.call_later(SETTLED_LOOK_NS, self._look_settled)
+            self._site.loop.call_later(NODE_REPORT_POLL_NS, self._poll_node_reports)
 
     def stop(self, now: bool) -> None:
         """Copies that run, run on; the successor finds them."""
@@ -155,94 +159,113 @@
             return
         match action:
             case t.StartCopy():
-                self._start(now, action)
+                self._start_copy(now, action)
             case t.StopCopy(copy):
-                record = self._record_of.get(copy)
+                record = self._job_of.get(copy)
                 if record is not None:
                     self._site.tell_owner(own.Cancelled(record.number))
-            case t.Wake(at):
-                if self._wake is not None:
-                    self._wake.cancel()
-                self._wake = self._site.loop.call_at(at, self._tell, t.Due())
-            case t.Note(service, what, text):
+            case t.SetTimer(at):
+                if self._timer is not None:
+                    self._timer.cancel()
+                self._timer = self._site.loop.call_at(at, self._tell, t.TimerFired())
+            case t.Log(service, what, text):
                 self._site.log.info("rollout", service=service, what=what, text=text)
-            case t.Keep(service):
-                self._keep(service)
+            case t.Persist(service):
+                self._persist(service)
 
     def on_handled(self, event: t.Event) -> None:
         return
 
-    def _start(self, now: int, action: t.StartCopy) -> None:
-        book = self._books[action.service]
-        version = book.versions[action.version]
+    def _start_copy(self, now: int, action: t.StartCopy) -> None:
+        stored = self._stored_services[action.service]
+        version = stored.versions[action.version]
         try:
             job = f"{self._intake.numbers.take()}.{self._site.name}"
         except OSError as fault:
             self._site.log.error("no job number", exc_info=fault)
             self._tell(t.Ended(action.copy, t.End.REFUSED))
             return
-        record = self._site.jobs.add(job, self._site.settings.queues.index(book.queue), now)
+        record = self._site.jobs.add(job, self._site.settings.queues.index(stored.queue), now)
         attrs = [Attr(name, value, resource) for name, resource, value in version.attrs]
-        attrs += [Attr(SLOT, str(action.slot)), Attr(VERSION, str(action.version))]
+        attrs += [Attr(SLOT_ATTRIBUTE, str(action.slot)), Attr(VERSION_ATTRIBUTE, str(action.version))]
         self._intake.describe(record, attrs)
         record.script = version.script
-        self._record_of[action.copy], self._copy_of[record.number] = record, action.copy
+        self._job_of[action.copy], self._copy_of[record.number] = record, action.copy
         effect = self.rollouts.services[action.service].rules.effect
         self._intake.take(record, held=False, lasting=True, effect=effect)
 
-    def _keep(self, name: str) -> None:
+    def _persist(self, name: str) -> None:
         service = self.rollouts.services.get(name)
         if service is None:
-            self._books.pop(name, None)
+            self._stored_services.pop(name, None)
         else:
-            book = self._books[name]
-            book.count, book.version, book.previous = service.rules.count, service.version, service.previous
-            book.effect, book.repeat_ns = service.rules.effect.value, service.rules.repeat_ns
-            book.stage, book.why, book.limits = service.stage.value, service.why, _limits_out(service.limits)
-            book.queued = (service.queued[0], _limits_out(service.queued[1])) if service.queued else None
-            used = {copy.version for copy in self.rollouts.copies(name)} | {book.version, book.previous}
-            used |= {slot.settled for slot in service.slots} | ({book.queued[0]} if book.queued else set())
-            book.versions = {number: what for number, what in book.versions.items() if number in used}
-        write_lasting(self._path, msgspec.json.encode(list(self._books.values())))
+            stored = self._stored_services[name]
+            stored.count, stored.version, stored.previous = (
+                service.rules.count,
+                service.version,
+                service.previous,
+            )
+            stored.effect, stored.repeat_ns = service.rules.effect.value, service.rules.dedupe_window_ns
+            stored.stage, stored.why, stored.limits = (
+                service.stage.value,
+                service.pause_reason,
+                _limits_to_dict(service.limits),
+            )
+            stored.queued = (
+                (service.queued[0], _limits_to_dict(service.queued[1])) if service.queued else None
+            )
+            used = {copy.version for copy in self.rollouts.get_copies(name)} | {
+                stored.version,
+                stored.previous,
+            }
+            used |= {slot.last_healthy_version for slot in service.slots} | (
+                {stored.queued[0]} if stored.queued else set()
+            )
+            stored.versions = {number: what for number, what in stored.versions.items() if number in used}
+        write_lasting(self._path, msgspec.json.encode(list(self._stored_services.values())))
 
     # --- what becomes of copies -----------------------------------------------------------------------------
 
-    def _placed(self, record: JobRecord) -> None:
+    def _on_placed(self, record: JobRecord) -> None:
         entry = self._members.list.entries.get(record.run_machine)
         rack = f"{entry.zone}/{entry.rack}" if entry is not None else ""
         copy = self._copy_of.get(record.number)
         if copy is not None:
             self._tell(t.Placed(copy, record.run_machine, rack))
-        elif record.adopted and SLOT in record.values and record.service in self._books:
-            self._found -= 1
-            self._record_of[self._found], self._copy_of[record.number] = record, self._found
-            slot, version = (int_of(record.values[name].value) for name in (SLOT, VERSION))
-            self._tell(t.Found(record.service, self._found, slot, version, record.run_machine, rack))
-
-    def _unplaced(self, record: JobRecord) -> None:
+        elif record.adopted and SLOT_ATTRIBUTE in record.values and record.service in self._stored_services:
+            self._last_found_copy -= 1
+            self._job_of[self._last_found_copy], self._copy_of[record.number] = record, self._last_found_copy
+            slot, version = (
+                int_of(record.values[name].value) for name in (SLOT_ATTRIBUTE, VERSION_ATTRIBUTE)
+            )
+            self._tell(
+                t.RunFound(record.service, self._last_found_copy, slot, version, record.run_machine, rack)
+            )
+
+    def _on_unplaced(self, record: JobRecord) -> None:
         copy = self._copy_of.get(record.number)
         if copy is not None:
             self._tell(t.Unplaced(copy))
 
-    def _finished(self, record: JobRecord) -> None:
+    def _on_finished(self, record: JobRecord) -> None:
         copy = self._copy_of.pop(record.number, None)
         if copy is None:
             return
-        del self._record_of[copy]
-        proven = not self._site.owner.has_orphan(record.number)
-        if not proven:
-            self._doubtful[record.number], record.pinned = copy, True
+        del self._job_of[copy]
+        confirmed = not self._site.owner.has_orphan(record.number)
+        if not confirmed:
+            self._unconfirmed[record.number], record.pinned = copy, True
         end = {"placed": t.End.DONE, "refused": t.End.REFUSED}.get(record.answer, t.End.LOST)
         if end is t.End.DONE and record.exit_status in (-1, CANCELLED_STATUS):
             end = t.End.LOST  # its node went, or a person cancelled it: that tells nothing of its version
-        self._tell(t.Ended(copy, end, proven))
+        self._tell(t.Ended(copy, end, confirmed))
 
-    def _news(self, number: int) -> None:
-        copy = self._doubtful.get(number)
+    def _on_job_update(self, number: int) -> None:
+        copy = self._unconfirmed.get(number)
         if copy is not None and not self._site.owner.has_orphan(number):
-            del self._doubtful[number]
+            del self._unconfirmed[number]
             self._site.jobs.by_number[number].pinned = False
-            self._tell(t.Proven(copy))
+            self._tell(t.EndConfirmed(copy))
 
     # --- requests -------------------------------------------------------------------------------------------
 
@@ -255,33 +278,33 @@
             if request.command == n.CMD_CREATE:
                 answer(self._declare(request))
             elif request.command == n.CMD_LIST:
-                names = [request.name] if request.name else list(self._books)
-                answer(Reply(0, n.R_STATUS, rows=[self._row(name) for name in names]))
+                names = [request.name] if request.name else list(self._stored_services)
+                answer(Reply(0, n.R_STATUS, rows=[self._build_row(name) for name in names]))
             elif request.command == n.CMD_SET:
-                wish = _WISHES.get(request.get("action"))
-                if wish is None:
-                    meant = ", ".join(_WISHES)
+                event_type = _ACTION_EVENTS.get(request.get("action"))
+                if event_type is None:
+                    meant = ", ".join(_ACTION_EVENTS)
                     raise ServiceError(f"action: found {request.get('action')!r}; one of {meant} is meant")
-                self._wish(wish(request.name))
-                answer(Reply(0, n.R_STATUS, rows=[self._row(request.name)]))
+                self._apply(event_type(request.name))
+                answer(Reply(0, n.R_STATUS, rows=[self._build_row(request.name)]))
             elif request.command == n.CMD_DELETE:
-                self._wish(t.Removed(request.name))
+                self._apply(t.Removed(request.name))
                 answer(Reply())
             else:
                 raise ServiceError("create, set, delete and list are known for a service")
         except (ServiceError, ResourceError, SettingsError) as fault:
             answer(refusal(fault.code, str(fault)))
 
-    def _wish(self, event: t.Event) -> None:
+    def _apply(self, event: t.Event) -> None:
         wrong = self.rollouts.check(event)
         if wrong:
             raise ServiceError(wrong)
         self._tell(event)
 
-    def _rules(self, name: str, queue: str, count: int) -> t.ServiceRules:
+    def _build_rules(self, name: str, queue: str, count: int) -> t.ServiceRules:
         known = self.rollouts.services.get(name)
         if known is not None:  # its copies run, and are started, by what it was declared with
-            return t.ServiceRules(name, count, known.rules.effect, known.rules.repeat_ns)
+            return t.ServiceRules(name, count, known.rules.effect, known.rules.dedupe_window_ns)
         klass = self._site.settings.module.classes[self._site.settings.queues.index(queue)]
         repeat = klass.dedupe_window_ns if klass.effect is Effect.KEYED else 0
         return t.ServiceRules(name, count, klass.effect, repeat)
@@ -293,16 +316,18 @@
         if not name or not all(char.isalnum() or char in "._-" for char in name):
             meant = "a name of letters, digits, '.', '_' and '-'"
             raise ServiceError(f"found {name!r}", where="service", expected=meant)
-        if not self.settled:
+        if not self.all_nodes_reported:
             why = "took up its services anew, and nodes have not all said what they run"
             raise ServiceError(f"{site.name} {why}")
         queue = request.get("queue") or site.settings.default_queue
         if not site.settings.queues.is_open(queue):
             meant = f"one of {', '.join(site.settings.queues.current)}"
             raise ServiceError(f"found {queue!r}", where="queue", expected=meant)
-        book = self._books.get(name)
-        if book is not None and queue != book.queue:
-            raise ServiceError(f"queue: found {queue!r}; {book.queue} is meant, a service stays in its queue")
+        stored = self._stored_services.get(name)
+        if stored is not None and queue != stored.queue:
+            raise ServiceError(
+                f"queue: found {queue!r}; {stored.queue} is meant, a service stays in its queue"
+            )
         words = [busy.value for busy in t.IfBusy]
         if request.get("if_busy", "refuse") not in words:
             meant = f"one of {', '.join(words)}"
@@ -321,44 +346,48 @@
         never = self._intake.check(probe)
         if never:
             raise ServiceError(never)
-        rules = self._rules(name, queue, _whole(request.get("count"), "count"))
-        version = 1 + max(book.versions, default=0) if book is not None else 1
+        rules = self._build_rules(name, queue, _parse_integer(request.get("count"), "count"))
+        version = 1 + max(stored.versions, default=0) if stored is not None else 1
         limits = read_limits(request)
         event = t.Declared(rules, version, limits, t.IfBusy(request.get("if_busy", "refuse")))
         wrong = self.rollouts.check(event)
         if wrong:
             raise ServiceError(wrong)
         if request.get("plan"):
-            mean = self.rollouts.mean_start_ns()
-            reckoned = plan(rules, limits, site.settings.rollouts.most_at_once, mean, 0)
+            mean = self.rollouts.get_mean_start_ns()
+            reckoned = plan_update(rules, limits, site.settings.rollouts.max_replacing_slots, mean, 0)
             return Reply(0, n.R_STATUS, rows=[Row(n.OBJ_SERVICE, name, [
                 Attr("count", str(rules.count)), Attr("effect", rules.effect.value),
                 Attr("at_once", str(reckoned.at_once)), Attr("waves", str(reckoned.waves)),
                 Attr("bound", reckoned.bound), Attr("expected_ns", str(reckoned.expected_ns)),
-                Attr("start_ns", str(mean)), Attr("replaces", str(book.version if book else "")),
+                Attr("start_ns", str(mean)), Attr("replaces", str(stored.version if stored else "")),
             ])])  # fmt: skip
-        if book is None:
-            book = self._books[name] = Book(name, queue, rules.count, version, -1, "going", "", {}, {})
-        book.versions[version] = Version([(attr.name, attr.resource, attr.value) for attr in attrs], script)
+        if stored is None:
+            stored = self._stored_services[name] = StoredService(
+                name, queue, rules.count, version, -1, "going", "", {}, {}
+            )
+        stored.versions[version] = StoredVersion(
+            [(attr.name, attr.resource, attr.value) for attr in attrs], script
+        )
         self._tell(event)
-        return Reply(0, n.R_STATUS, rows=[self._row(name)])
+        return Reply(0, n.R_STATUS, rows=[self._build_row(name)])
 
-    def _row(self, name: str) -> Row:
+    def _build_row(self, name: str) -> Row:
         if name not in self.rollouts.services:
-            known = ", ".join(self._books) or "none"
+            known = ", ".join(self._stored_services) or "none"
             raise ServiceError(f"service: found {name!r}; one that is declared is meant: {known}")
-        view = self.rollouts.view(self._site.loop.now_ns(), name)
+        view = self.rollouts.get_status(self._site.loop.now_ns(), name)
         attrs = [
-            Attr("queue", self._books[name].queue), Attr("count", str(view.count)),
+            Attr("queue", self._stored_services[name].queue), Attr("count", str(view.count)),
             Attr("version", str(view.version)), Attr("previous", str(view.previous)),
             Attr("stage", view.stage.value), Attr("new", str(view.new)), Attr("old", str(view.old)),
             Attr("down", str(view.down)), Attr("alive", str(view.alive)),
             Attr("failures", str(view.failures)), Attr("window", str(view.window)),
         ]  # fmt: skip
-        return Row(n.OBJ_SERVICE, name, attrs + [Attr("wait", text) for text in view.waits])
+        return Row(n.OBJ_SERVICE, name, attrs + [Attr("wait", text) for text in view.wait_reasons])
 
 
-def _whole(text: str, where: str) -> int:
+def _parse_integer(text: str, where: str) -> int:
     if not (text.isascii() and text.isdigit() and len(text) < 10):
         raise ServiceError(f"{where}: found {text!r}; a whole number is meant")
     return int(text)
@@ -371,12 +400,12 @@
         if attr.name != "update":
             continue
         key, text, where = attr.resource, attr.value, f"update.{attr.resource.replace('_', '.')}"
-        if key in _NUMBERS:
-            found[_NUMBERS[key]] = _whole(text, where)
+        if key in _INTEGER_LIMITS:
+            found[_INTEGER_LIMITS[key]] = _parse_integer(text, where)
         elif key == "failures_number":
-            found["failures"] = _whole(text, where)
-        elif key in _SPANS:
-            found[_SPANS[key]] = span_ns(text, where)
+            found["failures"] = _parse_integer(text, where)
+        elif key in _DURATION_LIMITS:
+            found[_DURATION_LIMITS[key]] = span_ns(text, where)
         elif key == "failures_share":
             try:
                 found["failed_share"] = float(text)
@@ -386,13 +415,13 @@
         else:
             known = "down, surplus, wave, spacing, healthy, failures and priority"
             raise ServiceError(f"{where}: unknown; {known} are known")
-    return _limits_back(found)
+    return _limits_from_dict(found)
 
 
-def _limits_out(limits: t.Limits) -> dict[str, float]:
+def _limits_to_dict(limits: t.Limits) -> dict[str, float]:
     return {name: getattr(limits, name) for name in t.Limits.__slots__}
 
 
-def _limits_back(found: dict[str, float]) -> t.Limits:
+def _limits_from_dict(found: dict[str, float]) -> t.Limits:
     whole = {name: int(value) for name, value in found.items() if name != "failed_share"}
     return t.Limits(**whole, failed_share=float(found.get("failed_share", 1.0)))
--- a/tests/rollout/test_cases.py
+++ b/tests/rollout/test_cases.py
@@ -23,9 +23,9 @@
     assert world.settle()
     world.feed(declared(2, 20, effect, limits))
     assert world.settle(racks=3)
-    view = world.rollouts.view(world.now, "svc")
+    view = world.rollouts.get_status(world.now, "svc")
     assert (view.new, view.old, view.down, view.stage, view.alive) == (20, 0, 0, t.Stage.OVER, 20)
-    assert {copy.version for copy in world.runs.values()} == {2} and view.waits == ()
+    assert {copy.version for copy in world.running.values()} == {2} and view.wait_reasons == ()
 
 
 def test_wrong_input_names_the_field_and_touches_nothing() -> None:
@@ -42,12 +42,12 @@
         (t.Pause("other"), "service: found 'other'; one that is declared is meant: svc"),
         (t.Pause("svc"), "svc: no update is going"), (t.Abort("svc"), "svc: no update is under way"),
     ]  # fmt: skip
-    before = dict(world.runs)
+    before = dict(world.running)
     for event, words in cases:
         assert words in world.rollouts.check(event)
         with pytest.raises(ValueError, match="found|no update|a service"):
             world.rollouts.handle(world.now, event)
-    assert world.runs == before and not world.told
+    assert world.running == before and not world.stopping
 
 
 def test_a_failing_version_pauses_and_what_is_down_is_filled_with_what_ran_well() -> None:
@@ -57,17 +57,17 @@
     world.settle()
     world.feed(declared(2, 100, limits=limits))
     assert world.settle(bad=2)
-    view = world.rollouts.view(world.now, "svc")
-    assert view.stage is t.Stage.PAUSED and "3 of" in view.waits[0]
+    view = world.rollouts.get_status(world.now, "svc")
+    assert view.stage is t.Stage.PAUSED and "3 of" in view.wait_reasons[0]
     # Twice the budget is tried of a version that has not shown that it runs, and each failure but the last
     # may have been followed by a second try in its slot; thirty were allowed down.
     assert 3 <= world.started[2] <= 3 * limits.failures
     world.wait(20 * S)
     world.settle(bad=2)
-    assert {copy.version for copy in world.runs.values()} == {1} and len(world.runs) == 100
+    assert {copy.version for copy in world.running.values()} == {1} and len(world.running) == 100
     world.feed(t.Abort("svc"))
     assert world.settle(bad=2)
-    view = world.rollouts.view(world.now, "svc")
+    view = world.rollouts.get_status(world.now, "svc")
     assert (view.stage, view.version, view.new) == (t.Stage.OVER, 1, 100)
 
 
@@ -75,14 +75,16 @@
     world = World()
     world.feed(declared(1, 10))
     world.settle()
-    for number in list(world.runs)[:3]:
-        world.asked[number] = world.runs.pop(number)  # its node went: it is placed again as the same job
+    for number in list(world.running)[:3]:
+        world.pending[number] = world.running.pop(number)  # its node went: it is placed again as the same job
         world.feed(t.Unplaced(number))
-    before = len(world.runs)
+    before = len(world.running)
     world.feed(declared(2, 10))
     # Old copies that wait for a place are given up for new ones; no copy that runs is touched.
-    assert len(world.runs) == before == 7
-    assert any("3 copies are down" in wait for wait in world.rollouts.view(world.now, "svc").waits)
+    assert len(world.running) == before == 7
+    assert any(
+        "3 copies are down" in wait for wait in world.rollouts.get_status(world.now, "svc").wait_reasons
+    )
     assert world.settle()
 
 
@@ -95,13 +97,13 @@
     world.feed(t.NodeGone("n-1"))
     world.feed(t.NodeGone("n-2"))
     world.feed(declared(2, 10, Effect.UNSAFE))
-    assert not world.told and world.rollouts.view(world.now, "svc").down == 4
-    assert any("n-1, n-2: gone" in wait for wait in world.rollouts.view(world.now, "svc").waits)
+    assert not world.stopping and world.rollouts.get_status(world.now, "svc").down == 4
+    assert any("n-1, n-2: gone" in wait for wait in world.rollouts.get_status(world.now, "svc").wait_reasons)
     world.feed(t.NodeBack("n-1"))
     world.feed(t.NodeBack("n-2"))
-    assert not world.told, "back is not yet healthy"
+    assert not world.stopping, "back is not yet healthy"
     world.wait(2 * S)
-    assert len(world.told) == 2 and world.settle()
+    assert len(world.stopping) == 2 and world.settle()
 
 
 def test_a_silent_node_keeps_its_unsafe_slot_and_no_other() -> None:
@@ -109,34 +111,34 @@
     world.feed(declared(1, 5, Effect.UNSAFE))
     world.settle()
     world.feed(declared(2, 5, Effect.UNSAFE))
-    silent = min(world.told)
+    silent = min(world.stopping)
     for _ in range(200):
-        for number in list(world.told):
+        for number in list(world.stopping):
             if number != silent:
                 world.end(number)
-        for number in list(world.asked):
+        for number in list(world.pending):
             world.place(number)
         world.wait(S)
-    view = world.rollouts.view(world.now, "svc")
-    assert (view.new, view.stage, len(world.told)) == (4, t.Stage.GOING, 1)
-    assert any("has not said that the old copy of slot" in wait for wait in view.waits)
-    world.end(silent, t.End.LOST, proven=False)  # its job ends without proof: still nothing is sent
+    view = world.rollouts.get_status(world.now, "svc")
+    assert (view.new, view.stage, len(world.stopping)) == (4, t.Stage.GOING, 1)
+    assert any("has not said that the old copy of slot" in wait for wait in view.wait_reasons)
+    world.end(silent, t.End.LOST, confirmed=False)  # its job ends without proof: still nothing is sent
     world.wait(600 * S)
-    assert not world.asked and world.rollouts.view(world.now, "svc").new == 4
-    world.prove(silent)
-    assert world.settle() and world.rollouts.view(world.now, "svc").new == 5
+    assert not world.pending and world.rollouts.get_status(world.now, "svc").new == 4
+    world.confirm_end(silent)
+    assert world.settle() and world.rollouts.get_status(world.now, "svc").new == 5
 
 
 def test_room_left_by_a_resting_slot_is_not_used_for_a_second_unsafe_copy() -> None:
     # Guards against a surplus that opens because another slot lies empty for a while.
-    world = World(t.RolloutSettings(back_first_ns=30 * S, back_most_ns=60 * S))
+    world = World(t.RolloutSettings(min_backoff_ns=30 * S, max_backoff_ns=60 * S))
     world.feed(declared(1, 4, Effect.UNSAFE))
     world.settle()
     world.feed(declared(2, 4, Effect.UNSAFE))
-    assert len(world.told) == 2
-    world.end(next(iter(world.runs)))  # and it rests for 30 s, while two give no word
+    assert len(world.stopping) == 2
+    world.end(next(iter(world.running)))  # and it rests for 30 s, while two give no word
     world.wait(20 * S)
-    assert not world.asked and len(world.alive("svc")) == 3
+    assert not world.pending and len(world.get_alive("svc")) == 3
 
 
 def test_a_third_version_replaces_or_follows_the_second() -> None:
@@ -146,20 +148,20 @@
         world.settle()
         world.feed(declared(2, 8))
         world.wait(S)
-        for number in list(world.told):
+        for number in list(world.stopping):
             world.end(number)
-        for number in list(world.asked):
+        for number in list(world.pending):
             world.place(number)
         assert "an update is under way" in world.rollouts.check(declared(3, 8))
         world.feed(declared(3, 8, if_busy=if_busy))
         assert world.settle() and set(world.started) == begun
-        view = world.rollouts.view(world.now, "svc")
+        view = world.rollouts.get_status(world.now, "svc")
         assert (view.version, view.new, view.previous) == (3, 8, 1 if if_busy is t.IfBusy.REPLACE else 2)
         assert (world.started[2] == 8) == (if_busy is t.IfBusy.QUEUE)
 
 
 def test_updates_share_one_budget_by_priority_and_none_starves() -> None:
-    world = World(t.RolloutSettings(most_at_once=4, turn=4))
+    world = World(t.RolloutSettings(max_replacing_slots=4, longest_wait_every=4))
     names = {"low": 0, "high": 5}
     for name, priority in names.items():
         world.feed(declared(1, 40, name=name, limits=t.Limits(down=10, healthy_ns=S, priority=priority)))
@@ -170,13 +172,13 @@
         assert sum(len(s.replacing) for s in world.rollouts.services.values()) <= 4
     over: list[str] = []
     for _ in range(300):
-        for number in list(world.told):
+        for number in list(world.stopping):
             world.end(number)
-        for number in list(world.asked):
+        for number in list(world.pending):
             world.place(number)
         world.wait(S)
         assert sum(len(s.replacing) for s in world.rollouts.services.values()) <= 4
-        views = {name: world.rollouts.view(world.now, name) for name in names}
+        views = {name: world.rollouts.get_status(world.now, name) for name in names}
         if views["high"].stage is t.Stage.OVER and "high" not in over:
             over.append("high")
             assert 5 <= views["low"].new < 40, "the low one had its turns, and no more"
@@ -193,22 +195,22 @@
         world.feed(declared(2, 10, effect))
         for _ in range(2):
             world.wait(S)
-            for number in list(world.told):
+            for number in list(world.stopping):
                 world.end(number)
-            for number in list(world.asked):
+            for number in list(world.pending):
                 world.place(number)
         fresh = World()
         fresh.rules, fresh.limits = world.rules, world.limits
         fresh.feed(t.Restored(world.rules["svc"], 2, 1, world.limits["svc"], t.Stage.GOING))
-        runs = world.runs | world.told  # a stop that was on its way may not have come
-        fresh.runs = dict(runs)
+        runs = world.running | world.stopping  # a stop that was on its way may not have come
+        fresh.running = dict(runs)
         for number, copy in runs.items():
-            fresh.feed(t.Found("svc", number, copy.slot, copy.version, "n", "r"))
+            fresh.feed(t.RunFound("svc", number, copy.slot, copy.version, "n", "r"))
         fresh.wait(30 * S)
-        assert not fresh.asked and not fresh.told
-        fresh.feed(t.Settled())
-        assert set(fresh.asked).isdisjoint(runs), "numbers of an earlier life are not given again"
-        assert fresh.settle() and fresh.rollouts.view(fresh.now, "svc").new == 10
+        assert not fresh.pending and not fresh.stopping
+        fresh.feed(t.AllNodesReported())
+        assert set(fresh.pending).isdisjoint(runs), "numbers of an earlier life are not given again"
+        assert fresh.settle() and fresh.rollouts.get_status(fresh.now, "svc").new == 10
 
 
 def test_the_same_events_always_give_the_same_actions() -> None:
@@ -218,10 +220,10 @@
         world.settle()
         world.feed(declared(2, 30))
         for _ in range(200):
-            for pool, act in ((world.told, world.end), (world.asked, world.place)):
+            for pool, act in ((world.stopping, world.end), (world.pending, world.place)):
                 if pool:
                     act(chance.choice(list(pool)))
             world.wait(S // 3)
-        return list(world.runs.items())
+        return list(world.running.items())
 
     assert run() == run()
--- a/tests/rollout/test_orders.py
+++ b/tests/rollout/test_orders.py
@@ -37,9 +37,9 @@
             elif what in ("end", "fail"):
                 world.end(number)
             elif what == "doubt":
-                world.end(number, t.End.LOST, proven=False)
+                world.end(number, t.End.LOST, confirmed=False)
             elif what == "prove":
-                world.prove(number)
+                world.confirm_end(number)
             elif what == "wait":
                 world.wait(S)
             elif what == "restart":
@@ -47,27 +47,29 @@
                 service = old.services["svc"]
                 world.wakes.clear()
                 # What was asked for and not placed is stopped with its scheduler; what may run is found.
-                world.asked.clear()
+                world.pending.clear()
                 restored = t.Restored(
-                    rules, service.version, service.previous, limits, service.stage, service.why
+                    rules, service.version, service.previous, limits, service.stage, service.pause_reason
                 )
                 world.feed(restored)
-                for copy in [*world.runs.values(), *world.told.values(), *world.doubt.values()]:
-                    world.feed(t.Found("svc", copy.copy, copy.slot, copy.version, "n", "r"))
-                world.runs |= world.told | world.doubt
-                world.told.clear()
-                world.doubt.clear()
-                world.feed(t.Settled())
+                for copy in [*world.running.values(), *world.stopping.values(), *world.unconfirmed.values()]:
+                    world.feed(t.RunFound("svc", copy.copy, copy.slot, copy.version, "n", "r"))
+                world.running |= world.stopping | world.unconfirmed
+                world.stopping.clear()
+                world.unconfirmed.clear()
+                world.feed(t.AllNodesReported())
         return world
 
     def moves(world: World, path: Path) -> list[tuple[str, int]]:
         done = [what for what, _ in path]
-        found = [("place", number) for number in world.asked] + [("end", number) for number in world.told]
-        found += [("prove", number) for number in world.doubt]
+        found = [("place", number) for number in world.pending] + [
+            ("end", number) for number in world.stopping
+        ]
+        found += [("prove", number) for number in world.unconfirmed]
         if "doubt" not in done:
-            found += [("doubt", number) for number in world.told]
+            found += [("doubt", number) for number in world.stopping]
         if "fail" not in done:
-            found += [("fail", number) for number in world.runs]
+            found += [("fail", number) for number in world.running]
         if "restart" not in done:
             found.append(("restart", 0))
         return [*found, ("wait", 0)]
@@ -78,12 +80,12 @@
         slots = tuple(
             (
                 tuple((c.version, c.state, min(S, now - c.placed_ns)) for c in slot.copies),
-                min(8 * S, max(0, slot.not_before_ns - now)), slot.back_ns, slot.settled,
+                min(8 * S, max(0, slot.not_before_ns - now)), slot.backoff_ns, slot.last_healthy_version,
             )
             for slot in s.slots
         )  # fmt: skip
         used = frozenset(what for what, _ in path if what in ("doubt", "fail", "restart"))
-        return (slots, s.stage, len(s.failed), int(world.rollouts.pace.window), used)
+        return (slots, s.stage, len(s.failure_times_ns), int(world.rollouts.start_limiter.window), used)
 
     seen: set[tuple[object, ...]] = set()
     queue: deque[Path] = deque([()])
@@ -95,7 +97,7 @@
         if key in seen:
             continue
         seen.add(key)
-        overs += world.rollouts.view(world.now, "svc").stage is t.Stage.OVER
+        overs += world.rollouts.get_status(world.now, "svc").stage is t.Stage.OVER
         if len(path) < DEPTH:
             queue.extend((*path, move) for move in moves(world, path))
     print(f"{len(seen)} states within {DEPTH} steps, {overs} of them at the end of the update")
@@ -118,37 +120,37 @@
     def pick(self, pool: dict[int, t.StartCopy], at: int) -> int:
         return list(pool)[at % len(pool)]
 
-    @precondition(lambda self: self.world.asked)
+    @precondition(lambda self: self.world.pending)
     @rule(at=st.integers(0, 99), rack=st.integers(0, 2))
     def places(self, at: int, rack: int) -> None:
-        self.world.place(self.pick(self.world.asked, at), f"r{rack}")
+        self.world.place(self.pick(self.world.pending, at), f"r{rack}")
 
-    @precondition(lambda self: self.world.asked)
+    @precondition(lambda self: self.world.pending)
     @rule(at=st.integers(0, 99))
     def refuses(self, at: int) -> None:
-        self.world.end(self.pick(self.world.asked, at), t.End.REFUSED)
+        self.world.end(self.pick(self.world.pending, at), t.End.REFUSED)
 
-    @precondition(lambda self: self.world.runs)
-    @rule(at=st.integers(0, 99), end=KINDS, proven=st.booleans())
-    def fails(self, at: int, end: t.End, proven: bool) -> None:
-        self.world.end(self.pick(self.world.runs, at), end, proven)
+    @precondition(lambda self: self.world.running)
+    @rule(at=st.integers(0, 99), end=KINDS, confirmed=st.booleans())
+    def fails(self, at: int, end: t.End, confirmed: bool) -> None:
+        self.world.end(self.pick(self.world.running, at), end, confirmed)
 
-    @precondition(lambda self: self.world.runs)
+    @precondition(lambda self: self.world.running)
     @rule(at=st.integers(0, 99))
     def loses_its_place(self, at: int) -> None:
-        number = self.pick(self.world.runs, at)
-        self.world.asked[number] = self.world.runs.pop(number)
+        number = self.pick(self.world.running, at)
+        self.world.pending[number] = self.world.running.pop(number)
         self.world.feed(t.Unplaced(number))
 
-    @precondition(lambda self: self.world.told)
-    @rule(at=st.integers(0, 99), proven=st.booleans())
-    def ends(self, at: int, proven: bool) -> None:
-        self.world.end(self.pick(self.world.told, at), proven=proven)
+    @precondition(lambda self: self.world.stopping)
+    @rule(at=st.integers(0, 99), confirmed=st.booleans())
+    def ends(self, at: int, confirmed: bool) -> None:
+        self.world.end(self.pick(self.world.stopping, at), confirmed=confirmed)
 
-    @precondition(lambda self: self.world.doubt)
+    @precondition(lambda self: self.world.unconfirmed)
     @rule(at=st.integers(0, 99))
     def is_proven(self, at: int) -> None:
-        self.world.prove(self.pick(self.world.doubt, at))
+        self.world.confirm_end(self.pick(self.world.unconfirmed, at))
 
     @rule(node=st.integers(0, 4), back=st.booleans())
     def node_comes_or_goes(self, node: int, back: bool) -> None:
@@ -156,13 +158,13 @@
 
     @rule(number=st.integers(1, 60), news=st.integers(0, 3))
     def late_news(self, number: int, news: int) -> None:
-        pools = (self.world.asked, self.world.runs, self.world.told, self.world.doubt)
-        if number in self.world.runs and news == 0:
+        pools = (self.world.pending, self.world.running, self.world.stopping, self.world.unconfirmed)
+        if number in self.world.running and news == 0:
             self.world.feed(t.Placed(number, "n", "r"))  # told twice
         elif not any(number in pool for pool in pools):
             # Of a copy long over, or never known.
             self.world.feed((t.Placed(number, "n", "r"), t.Unplaced(number), t.Ended(number, t.End.DONE),
-                             t.Proven(number))[news])  # fmt: skip
+                             t.EndConfirmed(number))[news])  # fmt: skip
 
     @rule(halves=st.integers(1, 12))
     def time_passes(self, halves: int) -> None:
@@ -183,9 +185,9 @@
     @invariant()
     def books_agree_with_the_world(self) -> None:
         s = self.world.rollouts.services["svc"]
-        assert s.alive == len(self.world.alive("svc")) <= self.count + self.limits.surplus
-        assert self.world.rollouts.pace.pending == len(self.world.asked)
-        assert s.down() >= self.count - len(self.world.serving("svc"))
+        assert s.alive == len(self.world.get_alive("svc")) <= self.count + self.limits.surplus
+        assert self.world.rollouts.start_limiter.pending == len(self.world.pending)
+        assert s.count_unhealthy() >= self.count - len(self.world.get_serving_slots("svc"))
         assert sorted(at for slots in s.by_kind.values() for at in slots) == list(range(self.count))
 
     def teardown(self) -> None:
@@ -198,14 +200,14 @@
         settled = self.world.settle()
         assert settled, (
             "an update that nothing stands in the way of must come to its end",
-            self.world.rollouts.view(self.world.now, "svc"),
-            self.world.rollouts.copies("svc"),
+            self.world.rollouts.get_status(self.world.now, "svc"),
+            self.world.rollouts.get_copies("svc"),
         )
         for _ in range(2):  # an update that is over may still have copies that were lost since
             self.world.wait(10 * S)
             assert self.world.settle()
         self.world.wait(10 * S)
-        view = self.world.rollouts.view(self.world.now, "svc")
+        view = self.world.rollouts.get_status(self.world.now, "svc")
         assert (view.stage, view.new, view.alive) == (t.Stage.OVER, self.count, self.count)
 
 
--- a/tests/test_owner_changes.py
+++ b/tests/test_owner_changes.py
@@ -117,12 +117,12 @@
 
 
 def test_updates_go_on_under_a_budget_that_changes() -> None:
-    world = World(rollout.RolloutSettings(most_at_once=1, back_first_ns=0, back_most_ns=S))
+    world = World(rollout.RolloutSettings(max_replacing_slots=1, min_backoff_ns=0, max_backoff_ns=S))
     limits = rollout.Limits(down=4, healthy_ns=S)
     world.feed(rollout.Declared(rollout.ServiceRules("web", 8, Effect.SAFE), 1, limits))
     assert world.settle()
     world.feed(rollout.Declared(rollout.ServiceRules("web", 8, Effect.SAFE), 2, limits))
-    assert len(world.told) == 1
-    world.feed(rollout.SettingsChanged(rollout.RolloutSettings(back_first_ns=0, back_most_ns=S)))
-    assert len(world.told) > 1 and world.settle()
-    assert {copy.version for copy in world.runs.values()} == {2}
+    assert len(world.stopping) == 1
+    world.feed(rollout.SettingsChanged(rollout.RolloutSettings(min_backoff_ns=0, max_backoff_ns=S)))
+    assert len(world.stopping) > 1 and world.settle()
+    assert {copy.version for copy in world.running.values()} == {2}
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -127,7 +127,7 @@
     old.site.stopping = True
     world.run_for(300 * MS)
     daemon = world.daemon("alpha")
-    world.until(lambda: daemon.services.settled)
+    world.until(lambda: daemon.services.all_nodes_reported)
     shown = until_over(world, "invoicing")
     assert (shown.get("version"), shown.get("new"), shown.get("alive")) == ("2", "8", "8")
     records = finish(world)
