--- a/ladderhub/rollout/decide.py
+++ b/ladderhub/rollout/decide.py
@@ -77,7 +77,7 @@
 
     def get_mean_start_ns(self) -> int:
         """Mean duration of recent starts; 0 before the first start."""
-        return round(self._state.start_limiter.mean_ns)
+        return round(self._state.start_limiter.mean_start_ns)
 
     def get_copies(self, name: str) -> list[t.Copy]:
         """All copies of a service that may be alive, by slot."""
--- a/ladderhub/rollout/service.py
+++ b/ladderhub/rollout/service.py
@@ -130,7 +130,7 @@
         if kind is SlotKind.UPDATED:
             self.replacing.pop(index, None)
         elif kind in (SlotKind.OLD, SlotKind.UNPLACED) and index in self.replacing:
-            # Its new copy is gone and an old one remains: the slot is to be replaced again, in the same wave.
+            # Its new copy is gone and an old one remains: the slot gives up its place in the wave.
             del self.replacing[index]
             self.wave_left += self.limits.wave > 0
 
--- a/ladderhub/rollout/start_limiter.py
+++ b/ladderhub/rollout/start_limiter.py
@@ -16,26 +16,26 @@
     def __init__(self) -> None:
         self.window = INITIAL_WINDOW
         self.pending = 0  # starts in progress
-        self.mean_ns = 0.0
+        self.mean_start_ns = 0.0
         self._slow_start_threshold = float("inf")
         self._ignore_pressure_until_ns = 0  # signs of the same overload halve the window once
 
     def on_started(self, now: int, start_ns: int) -> None:
         """Record a start that took `start_ns`."""
-        if self.mean_ns and start_ns > SLOW_FACTOR * self.mean_ns:
+        if self.mean_start_ns and start_ns > SLOW_FACTOR * self.mean_start_ns:
             self.on_pressure(now)
         else:
             self.window += 1 if self.window < self._slow_start_threshold else 1 / self.window
-        if self.mean_ns:
-            self.mean_ns += (start_ns - self.mean_ns) / AVERAGED_STARTS
+        if self.mean_start_ns:
+            self.mean_start_ns += (start_ns - self.mean_start_ns) / AVERAGED_STARTS
         else:
-            self.mean_ns = float(start_ns)
+            self.mean_start_ns = float(start_ns)
 
     def on_pressure(self, now: int) -> None:
         """Halve the window after a sign of overload, at most once per mean start time."""
         if now >= self._ignore_pressure_until_ns:
             self.window = self._slow_start_threshold = max(1.0, self.window / 2)
-            self._ignore_pressure_until_ns = now + round(self.mean_ns)
+            self._ignore_pressure_until_ns = now + round(self.mean_start_ns)
 
     def may_start(self, terminating: int) -> bool:
         """Whether another start may begin while the old copies of `terminating` slots are stopping.  Such
--- a/tests/rollout/test_cases.py
+++ b/tests/rollout/test_cases.py
@@ -122,9 +122,8 @@
     view = world.rollouts.get_status(world.now, "svc")
     assert (view.new, view.stage, len(world.stopping)) == (4, t.Stage.GOING, 1)
     assert any("has not said that the old copy of slot" in wait for wait in view.wait_reasons)
-    world.end(
-        silent, t.End.LOST, confirmed=False
-    )  # the job is over, but its end is not confirmed: no new copy
+    # The job is over, but its end is not confirmed: no new copy is started.
+    world.end(silent, t.End.LOST, confirmed=False)
     world.wait(600 * S)
     assert not world.pending and world.rollouts.get_status(world.now, "svc").new == 4
     world.confirm_end(silent)
