--- a/ladderhub/server/services.py
+++ b/ladderhub/server/services.py
@@ -22,13 +22,13 @@
 from ladderhub.rollout import Rollouts
 from ladderhub.rollout import types as t
 from ladderhub.rollout.plan import plan_update
-from ladderhub.server.door import Answer
+from ladderhub.server.clientlistener import ReplyCallback
+from ladderhub.server.context import DaemonContext
 from ladderhub.server.intake import Intake
 from ladderhub.server.jobs import JobRecord
-from ladderhub.server.lasting import SpoolError, write_lasting
 from ladderhub.server.members import Members
-from ladderhub.server.settings import SettingsError, span_ns
-from ladderhub.server.site import Site
+from ladderhub.server.settings import SettingsError, parse_duration_ns
+from ladderhub.server.spool import SpoolError, write_durably
 from ladderhub.server.words import int_of
 from ladderhub.usage.processor import Cause
 
@@ -75,26 +75,30 @@
 class Services:
     """Executor of the rollout decisions; a part of the daemon."""
 
-    def __init__(self, site: Site, intake: Intake, members: Members) -> None:
-        self._site, self._intake, self._members = site, intake, members
-        self.rollouts = Rollouts(site.settings.rollouts)
-        self._tell = site.dispatcher.register(self.rollouts, self)
+    def __init__(self, context: DaemonContext, intake: Intake, members: Members) -> None:
+        self._context, self._intake, self._members = context, intake, members
+        self.rollouts = Rollouts(context.settings.rollouts)
+        self._tell = context.dispatcher.register(self.rollouts, self)
         self._stored_services: dict[str, StoredService] = {}
         self._job_of: dict[int, JobRecord] = {}  # copy -> its job
         self._copy_of: dict[int, int] = {}  # job number -> copy
         self._unconfirmed: dict[int, int] = {}  # number of a job that is over -> copy that may be alive
         self._last_found_copy = 0  # copies from an earlier life of the scheduler get numbers below 0
         self._timer: Timer | None = None
-        self._path = site.folder / "services.json"
+        self._path = context.folder / "services.json"
         self.all_nodes_reported = True
-        site.on_placed.append(self._on_placed)
-        site.on_unplaced.append(self._on_unplaced)
-        site.on_finished.append(self._on_finished)
-        site.on_node.append(lambda node, back: self._tell((t.NodeBack if back else t.NodeGone)(node)))
-        site.on_news.append(self._on_job_update)
-        site.on_settings.append(lambda: self._tell(t.SettingsChanged(site.settings.rollouts)))
-        site.metrics.gauge("services", "Services declared", lambda: len(self._stored_services))
-        site.metrics.gauge("copies_down", "Copies of services without a healthy run", self._count_copies_down)
+        context.on_placed.append(self._on_placed)
+        context.on_unplaced.append(self._on_unplaced)
+        context.on_finished.append(self._on_finished)
+        context.on_node_changed.append(
+            lambda node, back: self._tell((t.NodeBack if back else t.NodeGone)(node))
+        )
+        context.on_finished_job_report.append(self._on_job_update)
+        context.on_settings_changed.append(lambda: self._tell(t.SettingsChanged(context.settings.rollouts)))
+        context.metrics.add_gauge("services", "Services declared", lambda: len(self._stored_services))
+        context.metrics.add_gauge(
+            "copies_down", "Copies of services without a healthy run", self._count_copies_down
+        )
 
     def get_queues(self) -> set[str]:
         """Queues that have services."""
@@ -107,7 +111,7 @@
 
     def start(self) -> None:
         """Restore the services that an earlier life declared; SpoolError if their file can't be read."""
-        self._site.processor.run(Cause.JOBS, self._restore)
+        self._context.processor.run(Cause.JOBS, self._restore)
 
     def _restore(self) -> None:
         try:
@@ -119,7 +123,7 @@
         except msgspec.MsgspecError as fault:
             raise SpoolError(str(fault), where=str(self._path), expected="what the scheduler left") from None
         for stored in stored_services:
-            if not self._site.settings.queues.is_known(stored.queue):
+            if not self._context.settings.queues.is_known(stored.queue):
                 where = f"{self._path}: service {stored.name}"
                 raise SpoolError(f"the queue {stored.queue} is not known", where=where)
             self._stored_services[stored.name] = stored
@@ -141,15 +145,15 @@
         Earlier, they would start copies that run but were not reported yet a second time."""
         if self._members.unheard() == set():
             self.all_nodes_reported = True
-            self._site.log.info("rollout", what="settled", text="every node has said what it runs")
+            self._context.log.info("rollout", what="settled", text="every node has said what it runs")
             self._tell(t.AllNodesReported())
-        elif not self._site.stopping:
-            self._site.loop.call_later(NODE_REPORT_POLL_NS, self._poll_node_reports)
+        elif not self._context.stopping:
+            self._context.loop.call_later(NODE_REPORT_POLL_NS, self._poll_node_reports)
 
     def stop(self, now: bool) -> None:
         """Leave running copies alone; the next process finds them."""
 
-    def owes(self) -> int:
+    def count_unsettled(self) -> int:
         """Always 0: no answer to a client is outstanding here."""
         return 0
 
@@ -160,7 +164,7 @@
 
     def execute(self, now: int, action: t.Action) -> None:
         """Execute one action of the rollout decisions."""
-        if self._site.stopping:
+        if self._context.stopping:
             return
         match action:
             case t.StartCopy():
@@ -168,13 +172,13 @@
             case t.StopCopy(copy):
                 record = self._job_of.get(copy)
                 if record is not None:
-                    self._site.tell_owner(own.Cancelled(record.number))
+                    self._context.tell_owner(own.Cancelled(record.number))
             case t.SetTimer(at):
                 if self._timer is not None:
                     self._timer.cancel()
-                self._timer = self._site.loop.call_at(at, self._tell, t.TimerFired())
+                self._timer = self._context.loop.call_at(at, self._tell, t.TimerFired())
             case t.Log(service, what, text):
-                self._site.log.info("rollout", service=service, what=what, text=text)
+                self._context.log.info("rollout", service=service, what=what, text=text)
             case t.Persist(service):
                 self._persist(service)
 
@@ -185,12 +189,12 @@
         stored = self._stored_services[action.service]
         version = stored.versions[action.version]
         try:
-            job = f"{self._intake.numbers.take()}.{self._site.name}"
+            job = f"{self._intake.numbers.take()}.{self._context.name}"
         except OSError as fault:
-            self._site.log.error("no job number", exc_info=fault)
+            self._context.log.error("no job number", exc_info=fault)
             self._tell(t.Ended(action.copy, t.End.REFUSED))
             return
-        record = self._site.jobs.add(job, self._site.settings.queues.index(stored.queue), now)
+        record = self._context.jobs.add(job, self._context.settings.queues.index(stored.queue), now)
         attrs = [Attr(name, value, resource) for name, resource, value in version.attrs]
         attrs += [Attr(SLOT_ATTRIBUTE, str(action.slot)), Attr(VERSION_ATTRIBUTE, str(action.version))]
         self._intake.describe(record, attrs)
@@ -229,7 +233,7 @@
             stored.versions = {
                 number: version for number, version in stored.versions.items() if number in used
             }
-        write_lasting(self._path, msgspec.json.encode(list(self._stored_services.values())))
+        write_durably(self._path, msgspec.json.encode(list(self._stored_services.values())))
 
     # --- events of copies -----------------------------------------------------------------------------------
 
@@ -259,7 +263,7 @@
         if copy is None:
             return
         del self._job_of[copy]
-        confirmed = not self._site.owner.has_orphan(record.number)
+        confirmed = not self._context.owner.has_orphan(record.number)
         if not confirmed:
             self._unconfirmed[record.number], record.pinned = copy, True
         end = {"placed": t.End.DONE, "refused": t.End.REFUSED}.get(record.answer, t.End.LOST)
@@ -269,17 +273,17 @@
 
     def _on_job_update(self, number: int) -> None:
         copy = self._unconfirmed.get(number)
-        if copy is not None and not self._site.owner.has_orphan(number):
+        if copy is not None and not self._context.owner.has_orphan(number):
             del self._unconfirmed[number]
-            self._site.jobs.by_number[number].pinned = False
+            self._context.jobs.by_number[number].pinned = False
             self._tell(t.EndConfirmed(copy))
 
     # --- requests -------------------------------------------------------------------------------------------
 
-    def serve(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
+    def serve(self, connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
         """Serve a Manager request on a service: create (or plan), set action=..., delete, list."""
-        if self._site.stopping:
-            answer(refusal(n.SERVER_BUSY, f"{self._site.name} is stopping"))
+        if self._context.stopping:
+            answer(refusal(n.SERVER_BUSY, f"{self._context.name} is stopping"))
             return
         try:
             if request.command == n.CMD_CREATE:
@@ -312,12 +316,12 @@
         known = self.rollouts.services.get(name)
         if known is not None:  # its copies keep the effect that it was declared with
             return t.ServiceRules(name, count, known.rules.effect, known.rules.dedupe_window_ns)
-        klass = self._site.settings.module.classes[self._site.settings.queues.index(queue)]
+        klass = self._context.settings.module.classes[self._context.settings.queues.index(queue)]
         dedupe_window_ns = klass.dedupe_window_ns if klass.effect is Effect.KEYED else 0
         return t.ServiceRules(name, count, klass.effect, dedupe_window_ns)
 
     def _declare(self, request: Request) -> Reply:
-        name, site = request.name, self._site
+        name, context = request.name, self._context
         service_attributes = ("queue", "count", "script", "if_busy", "plan", "update")
         attrs = [attr for attr in request.attrs if attr.name not in service_attributes]
         if not name or not all(char.isalnum() or char in "._-" for char in name):
@@ -325,10 +329,10 @@
             raise ServiceError(f"found {name!r}", where="service", expected=meant)
         if not self.all_nodes_reported:
             reason = "took up its services anew, and nodes have not all said what they run"
-            raise ServiceError(f"{site.name} {reason}")
-        queue = request.get("queue") or site.settings.default_queue
-        if not site.settings.queues.is_open(queue):
-            meant = f"one of {', '.join(site.settings.queues.current)}"
+            raise ServiceError(f"{context.name} {reason}")
+        queue = request.get("queue") or context.settings.default_queue
+        if not context.settings.queues.is_open(queue):
+            meant = f"one of {', '.join(context.settings.queues.current)}"
             raise ServiceError(f"found {queue!r}", where="queue", expected=meant)
         stored = self._stored_services.get(name)
         if stored is not None and queue != stored.queue:
@@ -348,7 +352,7 @@
         attrs += [Attr("service", name), Attr("Job_Owner", request.user)]
         if not request.get("Job_Name"):
             attrs.append(Attr("Job_Name", name if name[0].isalpha() else f"S{name}"))
-        candidate = JobRecord(0, "", site.settings.queues.index(queue))
+        candidate = JobRecord(0, "", context.settings.queues.index(queue))
         self._intake.describe(candidate, attrs)
         problem = self._intake.check(candidate)
         if problem:
@@ -362,7 +366,7 @@
             raise ServiceError(error)
         if request.get("plan"):
             start_ns = self.rollouts.get_mean_start_ns()
-            estimate = plan_update(rules, limits, site.settings.rollouts.max_replacing_slots, start_ns, 0)
+            estimate = plan_update(rules, limits, context.settings.rollouts.max_replacing_slots, start_ns, 0)
             return Reply(0, n.R_STATUS, rows=[Row(n.OBJ_SERVICE, name, [
                 Attr("count", str(rules.count)), Attr("effect", rules.effect.value),
                 Attr("at_once", str(estimate.at_once)), Attr("waves", str(estimate.waves)),
@@ -383,7 +387,7 @@
         if name not in self.rollouts.services:
             known = ", ".join(self._stored_services) or "none"
             raise ServiceError(f"service: found {name!r}; one that is declared is meant: {known}")
-        view = self.rollouts.get_status(self._site.loop.now_ns(), name)
+        view = self.rollouts.get_status(self._context.loop.now_ns(), name)
         attrs = [
             Attr("queue", self._stored_services[name].queue), Attr("count", str(view.count)),
             Attr("version", str(view.version)), Attr("previous", str(view.previous)),
@@ -412,7 +416,7 @@
         elif key == "failures_number":
             found["failures"] = _parse_integer(text, where)
         elif key in _DURATION_LIMITS:
-            found[_DURATION_LIMITS[key]] = span_ns(text, where)
+            found[_DURATION_LIMITS[key]] = parse_duration_ns(text, where)
         elif key == "failures_share":
             try:
                 found["failed_share"] = float(text)
--- a/tests/hard_cases/test_surroundings.py
+++ b/tests/hard_cases/test_surroundings.py
@@ -66,7 +66,7 @@
     daemon = world.daemon()
     job = world.submit("web", service="one")
     name = world.wait(job, "R").get("exec_host").partition("/")[0]
-    world.directory.cut_watchers()
+    world.directory.disconnect_watchers()
     world.crash(name)
     world.until(lambda: name not in daemon.nodes.entries)
     world.until(lambda: len(world.live(job)) == 1)
@@ -101,7 +101,7 @@
     ended: list[bool] = []
     daemon.on_end = lambda: ended.append(True)
     world.until(lambda: daemon.jobs.by_id[starting].state != "R")
-    daemon.shut()
+    daemon.shut_down()
     world.until(lambda: ended)
     answers = {job: daemon.jobs.by_id[job].answer for job in (runs, held, starting)}
     assert answers == {runs: "placed", held: "refused", starting: "placed"}
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -125,7 +125,7 @@
     world.until(lambda: int(row(world, "invoicing").get("new")) >= 3)
     world.daemons["alpha"].close()  # without a shutdown; copies that were not placed yet are lost
     old = world.daemons["alpha"]
-    old.site.stopping = True
+    old.context.stopping = True
     world.run_for(300 * MS)
     daemon = world.daemon("alpha")
     world.until(lambda: daemon.services.all_nodes_reported)
