--- a/ladderhub/server/services.py
+++ b/ladderhub/server/services.py
@@ -73,7 +73,7 @@
 
 
 class Services:
-    """Executor of the rollout decisions; a part of the daemon."""
+    """Executes the rollout decisions; a component of the daemon."""
 
     def __init__(self, context: DaemonContext, intake: Intake, members: Members) -> None:
         self._context, self._intake, self._members = context, intake, members
@@ -93,7 +93,7 @@
         context.on_node_changed.append(
             lambda node, back: self._tell((t.NodeBack if back else t.NodeGone)(node))
         )
-        context.on_finished_job_report.append(self._on_job_update)
+        context.on_finished_job_report.append(self._on_finished_job_report)
         context.on_settings_changed.append(lambda: self._tell(t.SettingsChanged(context.settings.rollouts)))
         context.metrics.add_gauge("services", "Services declared", lambda: len(self._stored_services))
         context.metrics.add_gauge(
@@ -107,7 +107,7 @@
     def _count_copies_down(self) -> int:
         return sum(service.count_unhealthy() for service in self.rollouts.services.values())
 
-    # --- part of the daemon ---------------------------------------------------------------------------------
+    # --- component of the daemon ----------------------------------------------------------------------------
 
     def start(self) -> None:
         """Restore the services that an earlier life declared; SpoolError if their file can't be read."""
@@ -154,7 +154,7 @@
         """Leave running copies alone; the next process finds them."""
 
     def count_unsettled(self) -> int:
-        """Always 0: no answer to a client is outstanding here."""
+        """Always 0: services accept nothing that must be settled before the daemon stops."""
         return 0
 
     def close(self) -> None:
@@ -271,7 +271,7 @@
             end = t.End.LOST  # its node is gone or it was cancelled: no sign of a fault in its version
         self._tell(t.Ended(copy, end, confirmed))
 
-    def _on_job_update(self, number: int) -> None:
+    def _on_finished_job_report(self, number: int) -> None:
         copy = self._unconfirmed.get(number)
         if copy is not None and not self._context.owner.has_orphan(number):
             del self._unconfirmed[number]
