--- a/ladderhub/rollout/types.py
+++ b/ladderhub/rollout/types.py
@@ -1,4 +1,4 @@
-"""What the rollout decisions hear, say and are told to keep to.  Times are nanoseconds."""
+"""Events, actions, settings and state of the rollout decisions.  Times are in nanoseconds."""
 
 from __future__ import annotations
 
@@ -7,70 +7,73 @@
 
 from ladderhub.interface import Effect
 
-S = 1_000_000_000
+SECOND_NS = 1_000_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What one update keeps to.
+    """Limits of one update.  They are stored by field name.
 
-    `down`: copies that may lack a healthy run at once before the update takes one more down; copies lost to
-    other causes count.  `surplus`: runs that may be alive above the count.  `wave` slots are replaced
-    together (0: no waves), the next wave begins `spacing_ns` after the last one is healthy.  A new copy is
-    healthy once it has run for `healthy_ns`.  The update pauses when, within `window_ns`, `failures` new
-    copies failed, or more than `failed_share` of those that were tried, two at least."""
+    `down`: the update takes another copy down only while fewer copies than this lack a healthy run; copies
+    lost to other causes count too.  `surplus`: runs that may be alive above the service's count.  `wave`:
+    slots that are replaced together (0: no waves); the next wave begins `spacing_ns` after the last one is
+    healthy.  A new copy is healthy once it has run for `healthy_ns`.  The update pauses when, within
+    `window_ns`, `failures` new copies failed, or at least two failed and these are more than `failed_share`
+    of the new copies that were started.  `priority`: the highest one is granted replacements first."""
 
     down: int = 1
     surplus: int = 0
     wave: int = 0
     spacing_ns: int = 0
-    healthy_ns: int = 10 * S
+    healthy_ns: int = 10 * SECOND_NS
     failures: int = 3
     failed_share: float = 1.0
-    window_ns: int = 300 * S
+    window_ns: int = 300 * SECOND_NS
     priority: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceRules:
-    """What a service is: `effect` of its class; `repeat_ns`: how long repeats of a keyed copy are
-    discarded."""
+    """Properties that a service was declared with.  `effect` is that of its class; repeats of a keyed copy
+    are discarded for `dedupe_window_ns`."""
 
     name: str
     count: int
     effect: Effect
-    repeat_ns: int = 0
+    dedupe_window_ns: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutSettings:
-    """Of all updates together: `most_at_once` copies may be in replacement at a time; every `turn`-th grant
+    """Settings shared by all updates.
+
+    At most `max_replacing_slots` slots may be in replacement at a time.  Every `longest_wait_every`-th grant
     goes to the update that waited longest, whatever its priority.  A slot whose copy ended is filled again
-    after `back_first_ns`, doubling to `back_most_ns`."""
+    after a delay that starts at `min_backoff_ns` and doubles up to `max_backoff_ns`."""
 
-    most_at_once: int = 50
-    turn: int = 4
-    back_first_ns: int = 1 * S
-    back_most_ns: int = 60 * S
+    max_replacing_slots: int = 50
+    longest_wait_every: int = 4
+    min_backoff_ns: int = 1 * SECOND_NS
+    max_backoff_ns: int = 60 * SECOND_NS
 
     def __post_init__(self) -> None:
-        if self.most_at_once < 1:
-            raise ValueError("most_at_once: must be at least 1")
-        if self.turn < 2:
+        if self.max_replacing_slots < 1:
+            raise ValueError("at_once: must be at least 1")
+        if self.longest_wait_every < 2:
             raise ValueError("turn: must be at least 2")
-        if not 0 <= self.back_first_ns <= self.back_most_ns:
-            raise ValueError("back_first_ns: must be from 0 to back_most_ns")
+        if not 0 <= self.min_backoff_ns <= self.max_backoff_ns:
+            raise ValueError("back_first: must be from 0 to back_most")
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """From now on these settings hold; updates go on under them."""
+    """The settings have changed; updates in progress continue under the new ones."""
 
     settings: RolloutSettings
 
 
 class IfBusy(Enum):
-    """What a new update does to one that is under way."""
+    """What a new update does if another update of the service is in progress."""
 
     REFUSE = "refuse"
     QUEUE = "queue"
@@ -80,13 +83,13 @@
 class End(Enum):
     """How a copy ended."""
 
-    DONE = "done"  # by itself, or killed by somebody else: it ran and runs no more
+    DONE = "done"  # it ran, and ended by itself or was killed by somebody else
     REFUSED = "refused"  # it never ran
-    LOST = "lost"  # its machine went, it was pushed out, or it may have run and is proven away
+    LOST = "lost"  # its node is gone, it was evicted, or it may have run and is confirmed not to run now
 
 
 class Stage(Enum):
-    """Where an update stands."""
+    """Stage of an update."""
 
     GOING = "going"
     PAUSED = "paused"
@@ -98,7 +101,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Declared:
-    """Run the service at this version; an update where it runs at another."""
+    """The service is to run at this version; starts an update if it runs at another one."""
 
     rules: ServiceRules
     version: int
@@ -108,20 +111,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Restored:
-    """A service of an earlier life of this scheduler; nothing is done before `Settled`."""
+    """A service that an earlier life of this scheduler stored; nothing is done before `AllNodesReported`."""
 
     rules: ServiceRules
     version: int
     previous: int
     limits: Limits
     stage: Stage
-    why: str = ""
+    pause_reason: str = ""
     queued: tuple[int, Limits] | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
-    """A run of an earlier life was found; `copy` is a number that no action has named."""
+class RunFound:
+    """A run from an earlier life of this scheduler was found; no action has used the number `copy`."""
 
     service: str
     copy: int
@@ -132,13 +135,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Settled:
-    """Every node has said what it runs."""
+class AllNodesReported:
+    """Every node has reported what it runs."""
 
 
 @dataclass(frozen=True, slots=True)
 class Placed:
-    """The copy runs."""
+    """The copy was placed and runs."""
 
     copy: int
     node: str
@@ -147,75 +150,77 @@
 
 @dataclass(frozen=True, slots=True)
 class Unplaced:
-    """The copy lost its place; it is being placed again as the same job."""
+    """The copy lost its placement; the same job is being placed again."""
 
     copy: int
 
 
 @dataclass(frozen=True, slots=True)
 class NodeGone:
-    """The node is not listed any more, or began anew: nobody can say that its copies run."""
+    """The node left the node list or restarted; it is not known whether its copies run."""
 
     node: str
 
 
 @dataclass(frozen=True, slots=True)
 class NodeBack:
-    """The node is listed again; what became of its copies is told one by one where they did not live on."""
+    """The node is listed again.  Events of their own report those of its copies that no longer run."""
 
     node: str
 
 
 @dataclass(frozen=True, slots=True)
 class Ended:
-    """The copy is over; `proven`: no run of it can be alive."""
+    """The copy's job is over; `confirmed`: no run of it can be alive."""
 
     copy: int
     end: End
-    proven: bool = True
+    confirmed: bool = True
 
 
 @dataclass(frozen=True, slots=True)
-class Proven:
-    """An ended copy is known not to run anywhere."""
+class EndConfirmed:
+    """A copy whose job is over is now known not to run anywhere."""
 
     copy: int
 
 
 @dataclass(frozen=True, slots=True)
 class Pause:
+    """Stop replacing copies until `Resume`."""
+
     service: str
 
 
 @dataclass(frozen=True, slots=True)
 class Resume:
-    """Go on; failures until now are forgiven."""
+    """Continue a paused update; earlier failures no longer count."""
 
     service: str
 
 
 @dataclass(frozen=True, slots=True)
 class Abort:
-    """Go back to the version before: an update like any other."""
+    """Return to the previous version, by an update like any other."""
 
     service: str
 
 
 @dataclass(frozen=True, slots=True)
 class Removed:
-    """The service shall run no more: all its copies are stopped."""
+    """The service is removed: all its copies are stopped."""
 
     service: str
 
 
 @dataclass(frozen=True, slots=True)
-class Due:
-    """A `Wake` came due."""
+class TimerFired:
+    """A timer set by `SetTimer` is due."""
 
 
 Event = (
-    Declared | Restored | Found | Settled | Placed | Unplaced | NodeGone | NodeBack | Ended | Proven | Pause
-    | Resume | Abort | Removed | Due | SettingsChanged
+    Declared | Restored | RunFound | AllNodesReported | Placed | Unplaced | NodeGone | NodeBack | Ended
+    | EndConfirmed | Pause | Resume | Abort | Removed | TimerFired | SettingsChanged
 )  # fmt: skip
 
 
@@ -224,7 +229,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartCopy:
-    """Have a copy placed."""
+    """Request the placement of a copy."""
 
     copy: int
     service: str
@@ -234,21 +239,21 @@
 
 @dataclass(frozen=True, slots=True)
 class StopCopy:
-    """Have the copy ended; `Ended` follows once its node has said so."""
+    """Stop the copy; `Ended` follows once its node has reported the end."""
 
     copy: int
 
 
 @dataclass(frozen=True, slots=True)
-class Wake:
-    """Give a `Due` at or after this moment; earlier wakes stay."""
+class SetTimer:
+    """Send a `TimerFired` at or after this time; timers that were set before remain."""
 
     at_ns: int
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
-    """For the log."""
+class Log:
+    """Write a log line."""
 
     service: str
     what: str
@@ -256,53 +261,54 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Keep:
-    """What is declared of this service has changed and must last; gone where it is not known any more."""
+class Persist:
+    """Store the declared state of this service, which has changed; delete it if the service is gone."""
 
     service: str
 
 
-Action = StartCopy | StopCopy | Wake | Note | Keep
+Action = StartCopy | StopCopy | SetTimer | Log | Persist
 
 
 # --- state ------------------------------------------------------------------------------------------------
 
 
 class CopyState(Enum):
-    """Where a copy stands."""
+    """State of a copy."""
 
-    ASKED = "asked"  # being placed
+    PENDING = "asked"  # being placed
     RUNNING = "running"
     HEALTHY = "healthy"
-    UNREACHABLE = "unreachable"  # its node is gone; it may run there
-    STOPPING = "stopping"  # told to end; its node has not said that it has
-    UNKNOWN = "unknown"  # its job is over and it may still be alive
+    UNREACHABLE = "unreachable"  # its node is gone; it may still run there
+    STOPPING = "stopping"  # told to stop; its node has not reported the end
+    UNKNOWN = "unknown"  # its job is over, but a run of it may still be alive
     ENDED = "ended"
 
     def may_become(self, state: CopyState) -> bool:
+        """Whether a copy may go from this state to `state`."""
         return state in _TRANSITIONS[self]
 
 
 _TRANSITIONS = {
-    CopyState.ASKED: {CopyState.RUNNING, CopyState.STOPPING, CopyState.UNKNOWN, CopyState.ENDED},
+    CopyState.PENDING: {CopyState.RUNNING, CopyState.STOPPING, CopyState.UNKNOWN, CopyState.ENDED},
     CopyState.RUNNING: {
         CopyState.HEALTHY,
         CopyState.UNREACHABLE,
-        CopyState.ASKED,
+        CopyState.PENDING,
         CopyState.STOPPING,
         CopyState.UNKNOWN,
         CopyState.ENDED,
     },
     CopyState.HEALTHY: {
         CopyState.UNREACHABLE,
-        CopyState.ASKED,
+        CopyState.PENDING,
         CopyState.STOPPING,
         CopyState.UNKNOWN,
         CopyState.ENDED,
     },
     CopyState.UNREACHABLE: {
         CopyState.RUNNING,
-        CopyState.ASKED,
+        CopyState.PENDING,
         CopyState.STOPPING,
         CopyState.UNKNOWN,
         CopyState.ENDED,
@@ -315,39 +321,41 @@
 
 @dataclass(slots=True)
 class Copy:
-    """One copy: a job that was asked for and may run."""
+    """One copy: a job that was requested for a slot and may run."""
 
     number: int
     slot: int
     version: int
     state: CopyState
-    asked_ns: int
+    requested_ns: int
     node: str = ""
     rack: str = ""
     placed_ns: int = 0
     stopped_ns: int = 0
 
     def is_healthy(self, version: int) -> bool:
+        """Whether the copy is healthy and has this version."""
         return self.state is CopyState.HEALTHY and self.version == version
 
 
 @dataclass(slots=True)
 class Slot:
-    """One of the `count` places of a service."""
+    """One of the `count` slots of a service."""
 
     index: int
-    copies: list[Copy] = field(default_factory=list)  # those that may be alive
-    settled: int = -1  # the version that was last healthy here
-    back_ns: int = 0
+    copies: list[Copy] = field(default_factory=list)  # copies that may be alive
+    last_healthy_version: int = -1  # -1: no copy was healthy here yet
+    backoff_ns: int = 0
     not_before_ns: int = 0
 
     def has_healthy(self, version: int) -> bool:
+        """Whether a healthy copy has this version."""
         return any(copy.is_healthy(version) for copy in self.copies)
 
 
 @dataclass(frozen=True, slots=True)
-class View:
-    """What `status` shows of one service."""
+class ServiceStatus:
+    """Status of one service, as `ladderhub rollout status` shows it."""
 
     service: str
     count: int
@@ -355,9 +363,9 @@
     previous: int
     stage: Stage
     new: int  # slots whose healthy copy has the target version
-    old: int  # slots whose healthy copy has another
+    old: int  # slots whose healthy copy has another version
     down: int  # slots without a healthy copy
     alive: int  # runs that may be alive
-    waits: tuple[str, ...]
+    wait_reasons: tuple[str, ...]
     failures: int
-    window: int  # starts that may be under way, as learned
+    window: int  # starts that may be in progress at a time, learned from earlier starts
--- a/ladderhub/server/daemon.py
+++ b/ladderhub/server/daemon.py
@@ -58,7 +58,7 @@
         self.members = Members(context, words, intake)
         self.nodes = self.members.list
         self.services = Services(context, intake, self.members)
-        KeptNames(context, self.services.queues, self.members.kinds)
+        KeptNames(context, self.services.get_queues, self.members.kinds)
         self.client_listener = ClientListener(context)
         operator_requests = OperatorRequests(context, self.members, self.shut_down)
         operator_requests.register(n.OBJ_SERVICE, self.services.serve)
