--- a/ladderhub/server/__init__.py
+++ b/ladderhub/server/__init__.py
@@ -10,10 +10,10 @@
     usagemetrics                       what the process spends, on the page of metrics
     offer, nodelinks, runs, nodelist   one offer's steps, connections to nodes, what is out, the directory
     site                               what all rooms share, and `Part`: what lives as long as the daemon
-    placing, words, owning             carry out the two decision modules; what nodes say of runs
+    placing, runcontrol, ownerexecutor   carry out the two decision modules; what nodes say of runs
     peers                              the other schedulers, where the settings name peers
     revisions                          the configuration as revisions, where some of the peers vote
-    intake, members                    jobs from people; the node list and adoption
+    intake, nodetracker                jobs from people; the node list and adoption
     kept_names                         queues and kinds that the file has not, over a restart
     door                               client connections, and the table of requests that rooms join
     submitting, jobrequests, status, operating, policyrequests    what each request does
--- a/ladderhub/server/daemon.py
+++ b/ladderhub/server/daemon.py
@@ -18,16 +18,16 @@
 from ladderhub.server.intake import Intake
 from ladderhub.server.jobrequests import JobRequests
 from ladderhub.server.kept_names import KeptNames, with_kept_names
-from ladderhub.server.members import Members
+from ladderhub.server.nodetracker import NodeTracker
 from ladderhub.server.operating import Operating
-from ladderhub.server.owning import Owning
-from ladderhub.server.placing import Placing
+from ladderhub.server.ownerexecutor import OwnerExecutor
+from ladderhub.server.placing import PlacementExecutor
+from ladderhub.server.runcontrol import RunControl
 from ladderhub.server.services import Services
 from ladderhub.server.settings import Loaded, PeerSettings
 from ladderhub.server.site import Part, Site
-from ladderhub.server.status import Status
-from ladderhub.server.submitting import Submitting
-from ladderhub.server.words import Words
+from ladderhub.server.status import StatusRequests
+from ladderhub.server.submitting import SubmissionRequests
 
 MS, S = 1_000_000, 1_000_000_000
 SWEEP_NS = 1 * S
@@ -43,25 +43,26 @@
         self.log = log or structlog.get_logger()
         self.site = site = Site(loop, with_kept_names(settings, Path(settings.file.spool)), self.log)
         self.jobs, self.metrics, self.owner, self.module = site.jobs, site.metrics, site.owner, site.module
-        placing = Placing(site)
-        words = Words(site, placing)
-        owning = Owning(site, placing, words)
-        site.join(placing, owning)
+        placement_executor = PlacementExecutor(site)
+        run_control = RunControl(site, placement_executor)
+        owner_executor = OwnerExecutor(site, placement_executor, run_control)
+        site.join(placement_executor, owner_executor)
         intake = Intake(site)
-        self.members = Members(site, words, intake)
-        self.nodes = self.members.list
-        self.services = Services(site, intake, self.members)
-        KeptNames(site, self.services.queues, self.members.kinds)
+        self.node_tracker = NodeTracker(site, run_control, intake)
+        self.nodes = self.node_tracker.node_list
+        self.services = Services(site, intake, self.node_tracker)
+        KeptNames(site, self.services.queues, self.node_tracker.get_listed_kinds)
         self.door = ClientDoor(site)
-        operating = Operating(site, self.members, self.shut)
+        operating = Operating(site, self.node_tracker, self.shut)
         operating.join(n.OBJ_SERVICE, self.services.serve)
         for room in (
-            Submitting(site, intake), JobRequests(site, intake, words), Status(site, self.members), operating,
+            SubmissionRequests(site, intake), JobRequests(site, intake, run_control),
+            StatusRequests(site, self.node_tracker), operating,
         ):  # fmt: skip
             self.door.join(room.serves())
         # In the order of their start; the door opens first, since nodes are told its address, and services
         # are known before nodes say what they run.
-        self.parts: list[Part] = [self.door, self.services, self.members, owning]
+        self.parts: list[Part] = [self.door, self.services, self.node_tracker, owner_executor]
         if settings.peers is not None:
             self._add_peers(settings.peers, operating)
         self.on_end: Callable[[], None] | None = None
@@ -92,7 +93,7 @@
         self.log.info("ready", server=self.site.name, address=self.site.advertise)
 
     def _sweep(self) -> None:
-        self.jobs.sweep(self.loop.now_ns())
+        self.jobs.remove_expired(self.loop.now_ns())
         self.loop.call_later(SWEEP_NS, self._sweep)
 
     def owes(self) -> int:
--- a/ladderhub/server/intake.py
+++ b/ladderhub/server/intake.py
@@ -20,7 +20,7 @@
         self._site = site
         self.numbers = JobNumbers(site.folder)
 
-    def describe(self, record: JobRecord, attrs: list[Attr]) -> None:
+    def read_attributes(self, record: JobRecord, attrs: list[Attr]) -> None:
         """Read a job's attributes into its record; `ResourceError` where they can't be read."""
         record.values = {attr.key(): attr for attr in attrs}
 
@@ -41,7 +41,7 @@
         memory = self._site.settings.default_memory[record.queue]
         record.memory = found.memory / GIB if found.memory else memory
 
-    def unserved(self, attrs: list[Attr]) -> Reply | None:
+    def find_unsupported(self, attrs: list[Attr]) -> Reply | None:
         """The refusal of the first attribute that nothing here would act on."""
         now_s = self._site.loop.now_ns() // S
         for attr in attrs:
@@ -50,7 +50,7 @@
                 return refusal(*refused)
         return None
 
-    def check(self, record: JobRecord, taken: bool = False) -> str:
+    def explain_unplaceable(self, record: JobRecord, taken: bool = False) -> str:
         """Why the job could never be placed; "" where it could.  One that was taken keeps its account."""
         module, names = self._site.settings.module, self._site.settings.kinds
         klass = module.classes[record.queue]
@@ -69,13 +69,17 @@
             return ""
         if not tenants.is_known(account):
             return f"unknown account {account}; known are " + ", ".join(tenants.current)
-        return "" if taken else f"account {account} {self.removed()}; known are " + ", ".join(tenants.current)
+        return (
+            ""
+            if taken
+            else f"account {account} {self.describe_removal()}; known are " + ", ".join(tenants.current)
+        )
 
-    def removed(self) -> str:
+    def describe_removal(self) -> str:
         """What is said of a queue or an account that the policy has no more."""
         return f"takes no new jobs, the policy (revision {self._site.revision.number}) has it no more"
 
-    def take(
+    def accept(
         self, record: JobRecord, held: bool, lasting: bool = False, effect: Effect | None = None
     ) -> None:
         """The job was committed.  `effect`: where it is not what its queue says."""
--- a/ladderhub/server/jobrequests.py
+++ b/ladderhub/server/jobrequests.py
@@ -15,7 +15,7 @@
 from ladderhub.server.intake import Intake
 from ladderhub.server.jobs import JobRecord
 from ladderhub.server.site import Site
-from ladderhub.server.words import Words
+from ladderhub.server.runcontrol import RunControl
 
 DELETE_WAIT_NS = 3_000_000_000
 FORWARD_NS = 2_000_000_000
@@ -29,8 +29,8 @@
 class JobRequests:
     """Serves what people ask of one job, and what nodes tell of one run."""
 
-    def __init__(self, site: Site, intake: Intake, words: Words) -> None:
-        self._site, self._intake, self._words = site, intake, words
+    def __init__(self, site: Site, intake: Intake, run_control: RunControl) -> None:
+        self._site, self._intake, self._run_control = site, intake, run_control
         self._deletes: dict[int, list[Callable[[], None]]] = {}
         site.on_finished.append(self._finished)
 
@@ -121,7 +121,7 @@
 
     def modify(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
         if request.user.startswith(n.NODE_USER):
-            self._words.update(request)
+            self._run_control.update(request)
             answer(Reply())
             return
         record = self.live(request)
@@ -132,7 +132,7 @@
         if wrong:
             answer(refusal(n.READ_ONLY, f"Read only attribute {wrong}"))
             return
-        refused = self._intake.unserved(request.attrs)
+        refused = self._intake.find_unsupported(request.attrs)
         if refused is not None:
             answer(refused)
             return
@@ -148,12 +148,12 @@
         for attr in request.attrs:
             self._set(record, attr)
         try:
-            self._intake.describe(record, list(record.values.values()))
-            never = self._intake.check(record, taken=True)
+            self._intake.read_attributes(record, list(record.values.values()))
+            never = self._intake.explain_unplaceable(record, taken=True)
         except ResourceError as fault:
             never = str(fault)
         if never:
-            self._intake.describe(record, list(before.values()))
+            self._intake.read_attributes(record, list(before.values()))
             answer(refusal(n.BAD_RESOURCE_VALUE, never))
             return
         record.rerunnable = record.rerunnable and not record.adopted
@@ -186,5 +186,5 @@
         answer(Reply(0, n.R_LOCATE, job=self._site.name) if record else refusal(n.UNKNOWN_JOB))
 
     def obituary(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
-        self._words.obituary(request)
+        self._run_control.obituary(request)
         answer(Reply())
--- a/ladderhub/server/jobs.py
+++ b/ladderhub/server/jobs.py
@@ -33,7 +33,7 @@
             raise SpoolError("not a number", where=where, expected=meant) from None
         self._reserved = self._next
 
-    def take(self) -> int:
+    def allocate(self) -> int:
         if self._next >= self._reserved:
             self._reserve()
         self._next += 1
@@ -79,8 +79,8 @@
 class JobTable:
     """All jobs: live ones by number and identifier, finished ones for a set time."""
 
-    def __init__(self, keep_ns: int, server: str) -> None:
-        self.keep_ns, self._server = keep_ns, server
+    def __init__(self, retention_ns: int, server: str) -> None:
+        self.retention_ns, self._server = retention_ns, server
         self.by_id: dict[str, JobRecord] = {}
         self.by_number: dict[int, JobRecord] = {}
         self.live: dict[int, JobRecord] = {}
@@ -105,11 +105,11 @@
         self.live.pop(record.number, None)
         self.finished[record.id] = record
 
-    def sweep(self, now: int) -> None:
+    def remove_expired(self, now: int) -> None:
         """Forget what finished too long ago."""
         while self.finished:
             record = next(iter(self.finished.values()))
-            if now - record.end_ns < self.keep_ns:
+            if now - record.end_ns < self.retention_ns:
                 return
             self.finished.popitem(last=False)
             if record.pinned:
--- a/ladderhub/server/nodelinks.py
+++ b/ladderhub/server/nodelinks.py
@@ -20,8 +20,8 @@
 class NodeLinks:
     """All connections of one scheduler to its nodes."""
 
-    def __init__(self, loop: Loop, connect_ns: int, count: TrafficCount) -> None:
-        self.loop, self.connect_ns, self.count = loop, connect_ns, count
+    def __init__(self, loop: Loop, connect_timeout_ns: int, count: TrafficCount) -> None:
+        self.loop, self.connect_timeout_ns, self.count = loop, connect_timeout_ns, count
         self._addresses: dict[str, Address] = {}
         self.open: set[Wire] = set()
 
@@ -62,7 +62,7 @@
         self._left = False
         self._count = links.count
         self.stream = connect_counted(
-            links.loop, address, self, links.connect_ns, lambda _: user.connected(), self._count
+            links.loop, address, self, links.connect_timeout_ns, lambda _: user.connected(), self._count
         )
 
     def on_data(self, stream: Stream, data: bytes) -> None:
--- a/ladderhub/server/members.py
+++ b/ladderhub/server/nodetracker.py
@@ -13,7 +13,7 @@
 from ladderhub.server.intake import Intake
 from ladderhub.server.nodelist import NodeList
 from ladderhub.server.site import Site
-from ladderhub.server.words import QUERY_NS, Words, int_of
+from ladderhub.server.runcontrol import QUERY_NS, RunControl, parse_int
 from ladderhub.usage.processor import Cause
 from ladderhub.usage.traffic import DIRECTORY
 
@@ -32,14 +32,16 @@
 )
 
 
-class Members:
+class NodeTracker:
     """The part of the daemon that follows the directory.  `list` has the entries as last told."""
 
-    def __init__(self, site: Site, words: Words, intake: Intake) -> None:
-        self._site, self._words, self._intake = site, words, intake
+    def __init__(self, site: Site, run_control: RunControl, intake: Intake) -> None:
+        self._site, self._run_control, self._intake = site, run_control, intake
         count = site.traffic.of(DIRECTORY)
-        self.list = NodeList(site.loop, site.settings.directory, site.name, site.folder, self._on_list, count)
-        site.metrics.gauge("nodes", "Nodes listed", lambda: len(self.list.entries))
+        self.node_list = NodeList(
+            site.loop, site.settings.directory, site.name, site.folder, self._on_list, count
+        )
+        site.metrics.gauge("nodes", "Nodes listed", lambda: len(self.node_list.entries))
         self.offline: set[str] = set()
         self._heard: dict[str, int] = {}  # node -> start time at which it said what it runs
         self._gone: set[str] = set()
@@ -56,7 +58,7 @@
 
     def start(self) -> None:
         with self._site.processor.section(Cause.LISTS):
-            self.list.start()
+            self.node_list.start()
 
     def stop(self, now: bool) -> None:
         return
@@ -65,18 +67,18 @@
         return 0
 
     def close(self) -> None:
-        self.list.close()
+        self.node_list.close()
 
-    def kinds(self) -> set[str]:
+    def get_listed_kinds(self) -> set[str]:
         """Kinds of the nodes that are listed."""
-        return {entry.kind for entry in self.list.entries.values()}
+        return {entry.kind for entry in self.node_list.entries.values()}
 
-    def unheard(self) -> set[str] | None:
+    def find_unreported_nodes(self) -> set[str] | None:
         """Nodes that have not said yet what they run; None before the directory has told all nodes."""
         if not self._whole:
             return None
         return {
-            name for name, entry in self.list.entries.items()
+            name for name, entry in self.node_list.entries.items()
             if self._site.settings.kinds.is_known(entry.kind) and self._heard.get(name) != entry.ready_ns
         }  # fmt: skip
 
@@ -113,9 +115,9 @@
         kinds = set(self._site.settings.kinds.current)
         changed = kinds ^ self._open_kinds
         self._open_kinds = kinds
-        entries = [entry for entry in self.list.entries.values() if entry.kind in changed]
+        entries = [entry for entry in self.node_list.entries.values() if entry.kind in changed]
         if entries:
-            self._on_list(api.ListKind.CHANGES, self.list.version, entries)
+            self._on_list(api.ListKind.CHANGES, self.node_list.version, entries)
 
     def _tell_nodes(self, kind: api.ListKind, entries: list[Entry], anew: list[str]) -> None:
         listed = {entry.name for entry in entries if entry.stage != "gone"}
@@ -149,9 +151,9 @@
     def set_offline(self, name: str, offline: bool, done: Callable[[Reply], None]) -> None:
         """`pbsnodes -o` and `-r`: this scheduler heeds it at once, the node tells the directory."""
         (self.offline.add if offline else self.offline.discard)(name)
-        entry = self.list.entries[name]
+        entry = self.node_list.entries[name]
         changed = (self._machine(entry),)
-        self._site.tell_module(api.MachineList(api.ListKind.CHANGES, self.list.version, changed))
+        self._site.tell_module(api.MachineList(api.ListKind.CHANGES, self.node_list.version, changed))
         state = [Attr("state", "offline" if offline else "free")]
         request = Request(
             n.MANAGER,
@@ -179,20 +181,22 @@
     def _adopt(self, name: str, reply: Reply | None) -> None:
         if reply is None:
             self._asked.pop(name, None)
-            if name in self.list.entries:
+            if name in self.node_list.entries:
                 self._site.loop.call_later(ADOPT_RETRY_NS, self._ask_node, name)
             return
         self._heard[name] = self._asked.get(name, 0)
         for row in reply.rows:
-            run = int_of(row.get("run_version"))
+            run = parse_int(row.get("run_version"))
             if row.get("server") != self._site.name or row.name in self._site.jobs.by_id:
                 continue
             queues = self._site.settings.queues
-            if self._words.ended_before(row.name, run) or not queues.is_known(row.get("queue")):
+            if self._run_control.ended_before(row.name, run) or not queues.is_known(row.get("queue")):
                 continue
             queue = queues.index(row.get("queue"))
-            record = self._site.jobs.add(row.name, queue, int_of(row.get("ctime")) * S)
-            self._intake.describe(record, [attr for attr in row.attrs if attr.name not in _OF_THE_OFFER])
+            record = self._site.jobs.add(row.name, queue, parse_int(row.get("ctime")) * S)
+            self._intake.read_attributes(
+                record, [attr for attr in row.attrs if attr.name not in _OF_THE_OFFER]
+            )
             record.service, record.answer_ns = row.get("service") or record.name, self._site.loop.now_ns()
             record.run, record.run_machine, record.answer = run, name, own.Answer.PLACED.value
             record.adopted, record.rerunnable = True, False  # its script went with the earlier life
--- a/ladderhub/server/operating.py
+++ b/ladderhub/server/operating.py
@@ -8,7 +8,7 @@
 from ladderhub.pbs.batch import Reply, Request, refusal
 from ladderhub.pbs.connection import ServerConnection
 from ladderhub.server.door import Answer, Serve
-from ladderhub.server.members import Members
+from ladderhub.server.nodetracker import NodeTracker
 from ladderhub.server.site import Site
 
 
@@ -20,8 +20,8 @@
 class Operating:
     """Serves operators; `shut` begins the daemon's clean stop."""
 
-    def __init__(self, site: Site, members: Members, shut: Callable[[], None]) -> None:
-        self._site, self._members, self._shut = site, members, shut
+    def __init__(self, site: Site, node_tracker: NodeTracker, shut: Callable[[], None]) -> None:
+        self._site, self._node_tracker, self._shut = site, node_tracker, shut
         self._objects: dict[int, Serve] = {n.OBJ_NODE: self.node}
 
     def join(self, object_type: int, serve: Serve) -> None:
@@ -42,14 +42,14 @@
         if request.command != n.CMD_SET or request.object_type != n.OBJ_NODE:
             answer(refusal(n.INVALID_REQUEST, "only «set node NAME state = offline|free» is known"))
             return
-        if request.name not in self._members.list.entries:
+        if request.name not in self._node_tracker.node_list.entries:
             answer(refusal(n.UNKNOWN_NODE, f"Unknown node {request.name}"))
             return
         state = request.get("state")
         if state not in ("offline", "free"):
             answer(refusal(n.BAD_ATTRIBUTE_VALUE, f"state={state}: offline or free is meant"))
             return
-        self._members.set_offline(request.name, state == "offline", answer)
+        self._node_tracker.set_offline(request.name, state == "offline", answer)
 
     def shutdown(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
         answer(Reply())
--- a/ladderhub/server/owning.py
+++ b/ladderhub/server/ownerexecutor.py
@@ -6,18 +6,18 @@
 from ladderhub.loop import Timer
 from ladderhub.owner import types as own
 from ladderhub.server.jobs import JobRecord
-from ladderhub.server.placing import Placing
+from ladderhub.server.placing import PlacementExecutor
 from ladderhub.server.site import Site
-from ladderhub.server.words import Words
+from ladderhub.server.runcontrol import RunControl
 
 _LETTERS = {"held": ("H", 20), "running": ("R", 42), "stopping": ("E", 50), "waiting": ("Q", 10)}
 
 
-class Owning:
+class OwnerExecutor:
     """Carrier of the owner's decisions, and the part of the daemon that owes answers."""
 
-    def __init__(self, site: Site, placing: Placing, words: Words) -> None:
-        self._site, self._placing, self._words = site, placing, words
+    def __init__(self, site: Site, placement: PlacementExecutor, run_control: RunControl) -> None:
+        self._site, self._placement, self._run_control = site, placement, run_control
         self._wakes: dict[int, Timer] = {}
         site.metrics.gauge("jobs_live", "Jobs not finished", lambda: len(site.jobs.live))
         site.metrics.gauge("jobs_owed", "Jobs without an answer", site.owner.count_unanswered)
@@ -46,7 +46,7 @@
                 old.cancel()
             self._wakes[action.job] = self._site.loop.call_at(action.at_ns, self._wake, action.job)
         elif isinstance(action, own.Query | own.Stop):
-            self._words.ask(action)
+            self._run_control.ask(action)
         else:
             record = self._site.jobs.live.get(action.job)
             if record is not None:
@@ -55,12 +55,12 @@
     def _carry_job(self, now: int, record: JobRecord, action: own.Action) -> None:
         match action:
             case own.RequestPlacement():
-                self._placing.ask(now, record, action)
+                self._placement.ask(now, record, action)
             case own.Withdraw():
                 if record.task >= 0:
                     self._site.tell_module(api.TaskWithdrawn(record.task))
             case own.Adopt(_, ask, run, machine):
-                self._placing.adopt(now, record, ask, run, machine)
+                self._placement.adopt(now, record, ask, run, machine)
             case own.ReportAnswer(_, answer, reason):
                 record.answer, record.answer_ns, record.comment = answer.value, now, reason
                 self._site.metrics.answered(answer)
@@ -72,7 +72,7 @@
                 self._finish(now, record, status, reason)
 
     def _finish(self, now: int, record: JobRecord, status: int, reason: str) -> None:
-        self._placing.leave(record)
+        self._placement.leave(record)
         record.exit_status = status
         if reason:
             record.comment = reason
--- a/ladderhub/server/placing.py
+++ b/ladderhub/server/placing.py
@@ -21,7 +21,7 @@
 _WORDS = {api.Reason.CORES: "no cores", api.Reason.MEMORY: "no memory", api.Reason.LINE_FULL: "line full"}
 
 
-class Placing:
+class PlacementExecutor:
     """Carrier of the decision module."""
 
     def __init__(self, site: Site) -> None:
--- a/ladderhub/server/words.py
+++ b/ladderhub/server/runcontrol.py
@@ -9,7 +9,7 @@
 from ladderhub.pbs import names as n
 from ladderhub.pbs.batch import Attr, Reply, Request
 from ladderhub.server.offer import COMMITTED
-from ladderhub.server.placing import Placing
+from ladderhub.server.placing import PlacementExecutor
 from ladderhub.server.site import Site
 
 QUERY_NS = 1_000_000_000
@@ -24,11 +24,11 @@
 }  # fmt: skip
 
 
-class Words:
+class RunControl:
     """What is asked of nodes about runs, and what they tell."""
 
-    def __init__(self, site: Site, placing: Placing) -> None:
-        self._site, self._placing = site, placing
+    def __init__(self, site: Site, placement: PlacementExecutor) -> None:
+        self._site, self._placement = site, placement
         self._unknown_ends: OrderedDict[tuple[str, int], None] = OrderedDict()
 
     def ended_before(self, job: str, run: int) -> bool:
@@ -65,7 +65,7 @@
             out = self._site.runs.get(action.job, action.run)
             self._site.runs.forget(action.job, action.run)
             if out is not None:
-                self._placing.tell_end(out, api.Outcome.LOST, api.Reason.UNKNOWN, concluded=True)
+                self._placement.tell_end(out, api.Outcome.LOST, api.Reason.UNKNOWN, concluded=True)
             self._site.tell_owner(own.MachineReplied(action.job, action.run, own.RunStatus.NEVER))
         elif reply.code == n.BAD_STATE and isinstance(action, own.Stop):
             self.ask(own.Query(action.job, action.run, action.machine))
@@ -76,7 +76,7 @@
         else:
             row = reply.rows[0] if reply.rows else None
             if row is not None and row.get("job_state") == "F":
-                status = int_of(row.get("Exit_status"))
+                status = parse_int(row.get("Exit_status"))
                 self._run_ended(action.job, action.run, row.get("exit_reason"), status)
             elif row is not None:
                 out = self._site.runs.get(action.job, action.run)
@@ -87,14 +87,14 @@
     def obituary(self, request: Request) -> None:
         """A node reports the end of a run; what is not known here is only remembered for a while."""
         record = self._site.jobs.by_id.get(request.job)
-        run = int_of(request.get("run_version"))
+        run = parse_int(request.get("run_version"))
         if record is None:
             self._unknown_ends[request.job, run] = None
             while len(self._unknown_ends) > OBITS_KEPT:
                 self._unknown_ends.popitem(last=False)
             return
         report = api.LoadReport(
-            float_of(request.get("load.cores_free")), float_of(request.get("load.memory_free"))
+            parse_float(request.get("load.cores_free")), parse_float(request.get("load.memory_free"))
         )
         self._run_ended(record.number, run, request.get("exit_reason"), request.status, report)
 
@@ -126,7 +126,7 @@
     def update(self, request: Request) -> None:
         """A node's news of a run: it runs now, or what it uses."""
         record = self._site.jobs.by_id.get(request.job)
-        out = self._site.runs.get(record.number, int_of(request.get("run_version"))) if record else None
+        out = self._site.runs.get(record.number, parse_int(request.get("run_version"))) if record else None
         if out is None or not out.open or not out.placed:
             return
         for key, topic in (
@@ -135,11 +135,11 @@
             ("machine_memory", api.Topic.MACHINE_MEMORY),
         ):  # fmt: skip
             if request.get(key):
-                level = 0.0 if topic is api.Topic.RUNNING else float_of(request.get(key)) or 0.0
+                level = 0.0 if topic is api.Topic.RUNNING else parse_float(request.get(key)) or 0.0
                 self._site.tell_module(api.TaskNote(out.task, out.attempt, out.machine, topic, level))
 
 
-def int_of(text: str) -> int:
+def parse_int(text: str) -> int:
     """A whole number that a node sent; 0 where it is none."""
     try:
         return int(text)
@@ -147,7 +147,7 @@
         return 0
 
 
-def float_of(text: str) -> float | None:
+def parse_float(text: str) -> float | None:
     """A figure that a node sent; None where it is none."""
     try:
         return float(text)
--- a/ladderhub/server/runs.py
+++ b/ladderhub/server/runs.py
@@ -27,7 +27,7 @@
         self.record, self.ask, self.until_ns, self.sent = record, ask, until_ns, 0
 
 
-class Runs:
+class RunTable:
     """All tasks by the module's number, all runs by job number and run."""
 
     def __init__(self) -> None:
--- a/ladderhub/server/services.py
+++ b/ladderhub/server/services.py
@@ -25,10 +25,10 @@
 from ladderhub.server.intake import Intake
 from ladderhub.server.jobs import JobRecord
 from ladderhub.server.lasting import SpoolError, write_lasting
-from ladderhub.server.members import Members
+from ladderhub.server.nodetracker import NodeTracker
 from ladderhub.server.settings import SettingsError, span_ns
 from ladderhub.server.site import Site
-from ladderhub.server.words import int_of
+from ladderhub.server.runcontrol import parse_int
 from ladderhub.usage.processor import Cause
 
 SETTLED_LOOK_NS = 200_000_000
@@ -74,8 +74,8 @@
 class Services:
     """Carrier of the rollout decisions, and a part of the daemon."""
 
-    def __init__(self, site: Site, intake: Intake, members: Members) -> None:
-        self._site, self._intake, self._members = site, intake, members
+    def __init__(self, site: Site, intake: Intake, node_tracker: NodeTracker) -> None:
+        self._site, self._intake, self._node_tracker = site, intake, node_tracker
         self.rollouts = Rollouts(site.settings.rollouts)
         self._tell = site.dispatcher.register(self.rollouts, self)
         self._books: dict[str, Book] = {}
@@ -132,7 +132,7 @@
 
     def _look_settled(self) -> None:
         """Danger: copies that run and were not heard of yet would be started a second time."""
-        if self._members.unheard() == set():
+        if self._node_tracker.find_unreported_nodes() == set():
             self.settled = True
             self._site.log.info("rollout", what="settled", text="every node has said what it runs")
             self._tell(t.Settled())
@@ -176,7 +176,7 @@
         book = self._books[action.service]
         version = book.versions[action.version]
         try:
-            job = f"{self._intake.numbers.take()}.{self._site.name}"
+            job = f"{self._intake.numbers.allocate()}.{self._site.name}"
         except OSError as fault:
             self._site.log.error("no job number", exc_info=fault)
             self._tell(t.Ended(action.copy, t.End.REFUSED))
@@ -184,11 +184,11 @@
         record = self._site.jobs.add(job, self._site.settings.queues.index(book.queue), now)
         attrs = [Attr(name, value, resource) for name, resource, value in version.attrs]
         attrs += [Attr(SLOT, str(action.slot)), Attr(VERSION, str(action.version))]
-        self._intake.describe(record, attrs)
+        self._intake.read_attributes(record, attrs)
         record.script = version.script
         self._record_of[action.copy], self._copy_of[record.number] = record, action.copy
         effect = self.rollouts.services[action.service].rules.effect
-        self._intake.take(record, held=False, lasting=True, effect=effect)
+        self._intake.accept(record, held=False, lasting=True, effect=effect)
 
     def _keep(self, name: str) -> None:
         service = self.rollouts.services.get(name)
@@ -208,7 +208,7 @@
     # --- what becomes of copies -----------------------------------------------------------------------------
 
     def _placed(self, record: JobRecord) -> None:
-        entry = self._members.list.entries.get(record.run_machine)
+        entry = self._node_tracker.node_list.entries.get(record.run_machine)
         rack = f"{entry.zone}/{entry.rack}" if entry is not None else ""
         copy = self._copy_of.get(record.number)
         if copy is not None:
@@ -216,7 +216,7 @@
         elif record.adopted and SLOT in record.values and record.service in self._books:
             self._found -= 1
             self._record_of[self._found], self._copy_of[record.number] = record, self._found
-            slot, version = (int_of(record.values[name].value) for name in (SLOT, VERSION))
+            slot, version = (parse_int(record.values[name].value) for name in (SLOT, VERSION))
             self._tell(t.Found(record.service, self._found, slot, version, record.run_machine, rack))
 
     def _unplaced(self, record: JobRecord) -> None:
@@ -310,15 +310,15 @@
         script = request.get("script").encode("utf-8", "surrogateescape")
         if not script:
             raise ServiceError("script: found nothing; what each copy runs is meant")
-        refused = self._intake.unserved(attrs)
+        refused = self._intake.find_unsupported(attrs)
         if refused is not None:
             raise ServiceError(refused.text)
         attrs += [Attr("service", name), Attr("Job_Owner", request.user)]
         if not request.get("Job_Name"):
             attrs.append(Attr("Job_Name", name if name[0].isalpha() else f"S{name}"))
         probe = JobRecord(0, "", site.settings.queues.index(queue))
-        self._intake.describe(probe, attrs)
-        never = self._intake.check(probe)
+        self._intake.read_attributes(probe, attrs)
+        never = self._intake.explain_unplaceable(probe)
         if never:
             raise ServiceError(never)
         rules = self._rules(name, queue, _whole(request.get("count"), "count"))
--- a/ladderhub/server/site.py
+++ b/ladderhub/server/site.py
@@ -24,7 +24,7 @@
 from ladderhub.server.lasting import FolderLock
 from ladderhub.server.metrics import Metrics
 from ladderhub.server.nodelinks import NodeLinks
-from ladderhub.server.runs import Runs
+from ladderhub.server.runs import RunTable
 from ladderhub.server.settings import Loaded, policy_body
 from ladderhub.server.usagemetrics import UsageMetrics
 from ladderhub.usage.accounted import processor_of
@@ -75,7 +75,7 @@
         self.folder = Path(settings.file.spool)
         self.lock = FolderLock(self.folder)
         self.jobs = JobTable(settings.keep_finished_ns, self.name)
-        self.runs = Runs()
+        self.runs = RunTable()
         self.metrics = Metrics()
         self.processor, self.traffic = processor_of(loop), Traffic()
         self.metrics.register(UsageMetrics(self.processor, self.traffic))
@@ -137,7 +137,7 @@
         while loaded.module is not event.settings:
             loaded, revision = self._changes.popleft()
         self.settings, self.revision = loaded, revision
-        self.links.connect_ns, self.jobs.keep_ns = loaded.connect_ns, loaded.keep_finished_ns
+        self.links.connect_timeout_ns, self.jobs.retention_ns = loaded.connect_ns, loaded.keep_finished_ns
         self.log.info("policy", revision=revision.number, digest=revision.digest.hex())
         for told in self.on_settings:
             told()
--- a/ladderhub/server/status.py
+++ b/ladderhub/server/status.py
@@ -10,18 +10,18 @@
 from ladderhub.pbs.resources import ResourceError, parse_size, parse_time
 from ladderhub.server.door import Answer, Serve
 from ladderhub.server.jobs import PLAIN, JobRecord, row_of, short_row
-from ladderhub.server.members import Members
+from ladderhub.server.nodetracker import NodeTracker
 from ladderhub.server.site import Site
 
 ROWS_AT_ONCE = 50
 SHORT = PLAIN | {"Resource_List", "resources_used", "Account_Name", "Priority"}
 
 
-class Status:
+class StatusRequests:
     """Serves what `qstat`, `qselect` and `pbsnodes` show."""
 
-    def __init__(self, site: Site, members: Members) -> None:
-        self._site, self._members = site, members
+    def __init__(self, site: Site, node_tracker: NodeTracker) -> None:
+        self._site, self._node_tracker = site, node_tracker
 
     def serves(self) -> dict[int, Serve]:
         return {
@@ -128,7 +128,7 @@
         answer(Reply(0, n.R_STATUS, rows=rows))
 
     def status_server(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
-        site, listed = self._site, self._members.list
+        site, listed = self._site, self._node_tracker.node_list
         records = list(site.jobs.live.values())
         state = "Terminating" if site.stopping else "Active"
         row = Row(n.OBJ_SERVER, site.name, [
@@ -142,16 +142,16 @@
 
     def status_node(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
         site = self._site
-        if request.name and request.name not in self._members.list.entries:
+        if request.name and request.name not in self._node_tracker.node_list.entries:
             answer(refusal(n.UNKNOWN_NODE, f"Unknown node {request.name}"))
             return
         jobs: dict[str, list[str]] = {}
         for record in site.jobs.live.values():
             jobs.setdefault(next(iter(site.runs.placed_at(record.number)), ""), []).append(record.id)
         rows = []
-        for name, entry in sorted(self._members.list.entries.items()):
+        for name, entry in sorted(self._node_tracker.node_list.entries.items()):
             if request.name in ("", name):
-                drains = entry.stage == "draining" or name in self._members.offline
+                drains = entry.stage == "draining" or name in self._node_tracker.offline
                 kind = site.settings.file.kinds.get(entry.kind)
                 rows.append(
                     Row(n.OBJ_NODE, name, [
--- a/ladderhub/server/submitting.py
+++ b/ladderhub/server/submitting.py
@@ -14,7 +14,7 @@
 _HELD = ("u", "o", "s")
 
 
-class Submitting:
+class SubmissionRequests:
     """Serves submissions; a job is taken at its Commit and not before."""
 
     def __init__(self, site: Site, intake: Intake) -> None:
@@ -39,7 +39,7 @@
         if closed is not None:
             answer(closed)
             return
-        refused = self._intake.unserved(request.attrs)
+        refused = self._intake.find_unsupported(request.attrs)
         if refused is not None:
             answer(refused)
             return
@@ -47,7 +47,7 @@
         if refused is not None:
             answer(refused)
             return
-        job = f"{self._intake.numbers.take()}.{site.name}"
+        job = f"{self._intake.numbers.allocate()}.{site.name}"
         request.destination = name  # as answered, also where another queue is the default by its Commit
         connection.draft = Draft(job, request)
         answer(Reply(0, n.R_QUEUE, job=job))
@@ -56,10 +56,10 @@
         """The refusal of a job that could never be placed."""
         probe = JobRecord(0, "", self._site.settings.queues.index(name))
         try:
-            self._intake.describe(probe, request.attrs)
+            self._intake.read_attributes(probe, request.attrs)
         except ResourceError as fault:
             return refusal(fault.code, str(fault))
-        never = self._intake.check(probe)
+        never = self._intake.explain_unplaceable(probe)
         return refusal(n.BAD_RESOURCE_VALUE, never) if never else None
 
     def _closed(self, name: str) -> Reply | None:
@@ -69,7 +69,7 @@
             return None
         known = ", ".join(queues.current)
         if queues.is_known(name):
-            text = f"Queue {name} {self._intake.removed()}; known are {known}"
+            text = f"Queue {name} {self._intake.describe_removal()}; known are {known}"
             return refusal(n.QUEUE_NOT_ENABLED, text)
         return refusal(n.UNKNOWN_QUEUE, f"Unknown queue {name}; known are {known}")
 
@@ -104,8 +104,8 @@
             answer(refused)
             return
         record = site.jobs.add(draft.job, site.settings.queues.index(name), site.loop.now_ns())
-        self._intake.describe(record, draft.request.attrs)
+        self._intake.read_attributes(record, draft.request.attrs)
         record.owner = record.owner or draft.request.user
         record.script = bytes(draft.script)
         answer(Reply(0, n.R_COMMIT, job=record.id))
-        self._intake.take(record, held=any(letter in draft.request.get("Hold_Types") for letter in _HELD))
+        self._intake.accept(record, held=any(letter in draft.request.get("Hold_Types") for letter in _HELD))
