--- a/ladderhub/server/intake.py
+++ b/ladderhub/server/intake.py
@@ -80,7 +80,7 @@
         return f"takes no new jobs, the policy (revision {self._site.revision.number}) has it no more"
 
     def accept(
-        self, record: JobRecord, held: bool, lasting: bool = False, effect: Effect | None = None
+        self, record: JobRecord, held: bool, stop_until_confirmed: bool = False, effect: Effect | None = None
     ) -> None:
         """The job was committed.  `effect`: where it is not what its queue says."""
         site = self._site
@@ -90,5 +90,7 @@
             "taken", job=record.id, queue=site.settings.queues.all[record.queue], owner=record.owner,
             revision=record.revision,
         )  # fmt: skip
-        event = own.Submitted(record.number, record.queue, record.rerunnable, held, lasting, effect)
+        event = own.Submitted(
+            record.number, record.queue, record.rerunnable, held, stop_until_confirmed, effect
+        )
         site.tell_owner(event)
--- a/ladderhub/server/nodelinks.py
+++ b/ladderhub/server/nodelinks.py
@@ -23,7 +23,7 @@
     def __init__(self, loop: Loop, connect_timeout_ns: int, count: TrafficCount) -> None:
         self.loop, self.connect_timeout_ns, self.count = loop, connect_timeout_ns, count
         self._addresses: dict[str, Address] = {}
-        self.open: set[Wire] = set()
+        self.connections: set[Wire] = set()
 
     def place(self, node: str, address: Address) -> None:
         """The node is to be found there."""
@@ -45,11 +45,11 @@
             self.loop.call_soon(user.broke, "its address is not known")
             return None
         wire = Wire(self, user, self._addresses[node])
-        self.open.add(wire)
+        self.connections.add(wire)
         return wire
 
     def close(self) -> None:
-        for wire in list(self.open):
+        for wire in list(self.connections):
             wire.stream.abort()
 
 
@@ -75,7 +75,7 @@
             stream.abort(fault)
 
     def on_closed(self, stream: Stream, fault: BaseException | None) -> None:
-        self._links.open.discard(self)
+        self._links.connections.discard(self)
         if not self._left:
             self._left = True
             self._user.broke(_words(fault))
--- a/ladderhub/server/services.py
+++ b/ladderhub/server/services.py
@@ -188,7 +188,7 @@
         record.script = version.script
         self._record_of[action.copy], self._copy_of[record.number] = record, action.copy
         effect = self.rollouts.services[action.service].rules.effect
-        self._intake.accept(record, held=False, lasting=True, effect=effect)
+        self._intake.accept(record, held=False, stop_until_confirmed=True, effect=effect)
 
     def _keep(self, name: str) -> None:
         service = self.rollouts.services.get(name)
--- a/tests/usage/test_traffic.py
+++ b/tests/usage/test_traffic.py
@@ -87,7 +87,7 @@
     for at in range(5):
         world.submit(service=f"service-{at}")
     world.until(lambda: sum(record.state == "R" for record in daemon.jobs.by_id.values()) == 5)
-    world.until(lambda: not daemon.site.links.open)
+    world.until(lambda: not daemon.site.links.connections)
     ours = daemon.site.traffic
     agents = list(world.agents.values())
 
