--- a/ladderhub/server/intake.py
+++ b/ladderhub/server/intake.py
@@ -1,4 +1,4 @@
-"""Jobs from people: attributes read into a record, checked against what there is, and taken."""
+"""Submitted jobs: reads their attributes into a record, checks them against the settings, accepts the job."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class Intake:
-    """Reads, checks and takes jobs; `numbers` gives their identifiers."""
+    """Reads, checks and accepts jobs; `numbers` allocates their identifiers."""
 
     def __init__(self, site: Site) -> None:
         self._site = site
         self.numbers = JobNumbers(site.folder)
 
     def read_attributes(self, record: JobRecord, attrs: list[Attr]) -> None:
-        """Read a job's attributes into its record; `ResourceError` where they can't be read."""
+        """Read a job's attributes into its record; raise `ResourceError` if they are invalid."""
         record.values = {attr.key(): attr for attr in attrs}
 
         def get(key: str, default: str = "") -> str:
@@ -33,16 +33,16 @@
         record.rerunnable = get("Rerunable", "y").lower() in ("y", "true")
         resources = {attr.resource: attr.value for attr in attrs if attr.name == "Resource_List"}
         queue = self._site.settings.queue_at[record.queue]
-        found = wanted(resources)
+        wanted_resources = wanted(resources)
         record.walltime_s, record.mpiprocs, record.ompthreads = (
-            found.walltime_s, found.mpiprocs, found.ompthreads,
+            wanted_resources.walltime_s, wanted_resources.mpiprocs, wanted_resources.ompthreads,
         )  # fmt: skip
-        record.cores = queue.default_cpus if found.cores is None else found.cores
+        record.cores = queue.default_cpus if wanted_resources.cores is None else wanted_resources.cores
         memory = self._site.settings.default_memory[record.queue]
-        record.memory = found.memory / GIB if found.memory else memory
+        record.memory = wanted_resources.memory / GIB if wanted_resources.memory else memory
 
     def find_unsupported(self, attrs: list[Attr]) -> Reply | None:
-        """The refusal of the first attribute that nothing here would act on."""
+        """Return the refusal of the first attribute that is not supported, None if all are."""
         now_s = self._site.loop.now_ns() // S
         for attr in attrs:
             refused = unserved(attr, now_s)
@@ -50,13 +50,13 @@
                 return refusal(*refused)
         return None
 
-    def explain_unplaceable(self, record: JobRecord, taken: bool = False) -> str:
-        """Why the job could never be placed; "" where it could.  One that was taken keeps its account."""
-        module, names = self._site.settings.module, self._site.settings.kinds
+    def explain_unplaceable(self, record: JobRecord, is_accepted: bool = False) -> str:
+        """Return why the job can never be placed, "" if it can.  An accepted job keeps a removed account."""
+        module, kind_names = self._site.settings.module, self._site.settings.kinds
         klass = module.classes[record.queue]
         kinds = [
-            kind for at, kind in enumerate(module.kinds)
-            if klass.kind in (-1, at) and names.is_open(names.all[at])
+            kind for index, kind in enumerate(module.kinds)
+            if klass.kind in (-1, index) and kind_names.is_open(kind_names.all[index])
         ]  # fmt: skip
         if kinds and not any(
             record.cores <= kind.cores * module.admit_cores
@@ -71,18 +71,18 @@
             return f"unknown account {account}; known are " + ", ".join(tenants.current)
         return (
             ""
-            if taken
+            if is_accepted
             else f"account {account} {self.describe_removal()}; known are " + ", ".join(tenants.current)
         )
 
     def describe_removal(self) -> str:
-        """What is said of a queue or an account that the policy has no more."""
+        """Return the explanation for a queue or an account that the policy no longer has."""
         return f"takes no new jobs, the policy (revision {self._site.revision.number}) has it no more"
 
     def accept(
         self, record: JobRecord, held: bool, stop_until_confirmed: bool = False, effect: Effect | None = None
     ) -> None:
-        """The job was committed.  `effect`: where it is not what its queue says."""
+        """Accept a committed job.  `effect`: the job's own, if it differs from its queue's."""
         site = self._site
         site.metrics.taken += 1
         record.revision = site.revision.number
--- a/ladderhub/server/jobrequests.py
+++ b/ladderhub/server/jobrequests.py
@@ -17,22 +17,22 @@
 from ladderhub.server.site import Site
 from ladderhub.server.runcontrol import RunControl
 
-DELETE_WAIT_NS = 3_000_000_000
-FORWARD_NS = 2_000_000_000
+DELETE_REPLY_TIMEOUT_NS = 3_000_000_000
+FORWARD_TIMEOUT_NS = 2_000_000_000
 _READ_ONLY = frozenset((
     "job_state", "exec_host", "placement", "Exit_status", "run_count", "ctime", "substate", "server",
     "comment", "queue", "Job_Owner", "Hold_Types", "service", "policy_revision",
 ))  # fmt: skip
-_HELD = ("u", "o", "s")
+_HOLD_TYPES = ("u", "o", "s")
 
 
 class JobRequests:
-    """Serves what people ask of one job, and what nodes tell of one run."""
+    """Serves clients' requests on one job, and nodes' reports on one run."""
 
     def __init__(self, site: Site, intake: Intake, run_control: RunControl) -> None:
         self._site, self._intake, self._run_control = site, intake, run_control
-        self._deletes: dict[int, list[Callable[[], None]]] = {}
-        site.on_finished.append(self._finished)
+        self._delete_callbacks: dict[int, list[Callable[[], None]]] = {}
+        site.on_finished.append(self._on_job_finished)
 
     def serves(self) -> dict[int, Serve]:
         return {
@@ -41,16 +41,17 @@
             n.LOCATE_JOB: self.locate, n.JOB_OBIT: self.obituary,
         }  # fmt: skip
 
-    def _finished(self, record: JobRecord) -> None:
-        """A job is over: those who wait to hear so are told."""
-        for call in self._deletes.pop(record.number, []):
-            call()
+    def _on_job_finished(self, record: JobRecord) -> None:
+        """Answer the Delete requests that wait for the job's end."""
+        for callback in self._delete_callbacks.pop(record.number, []):
+            callback()
 
-    def _machine_of(self, record: JobRecord) -> str:
-        """The node where the job runs, "" where it does not."""
-        return next(iter(self._site.runs.placed_at(record.number)), "")
+    def _find_machine(self, record: JobRecord) -> str:
+        """Return the node that runs the job, "" if none does."""
+        return next(iter(self._site.runs.get_machines(record.number)), "")
 
-    def live(self, request: Request) -> JobRecord | Reply:
+    def find_live_job(self, request: Request) -> JobRecord | Reply:
+        """Return the job that the request names, or a refusal if it is unknown or has finished."""
         record = self._site.jobs.find(request.job)
         if record is None:
             return refusal(n.UNKNOWN_JOB, f"Unknown Job Id {request.job}")
@@ -59,13 +60,14 @@
         return record
 
     def delete(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
-        """Answered once it is known what became of the job, or after a while with what is known by then."""
-        record = self.live(request)
+        """Delete a job.  The answer waits for the job's end, but at most `DELETE_REPLY_TIMEOUT_NS`."""
+        record = self.find_live_job(request)
         if isinstance(record, Reply):
             answer(record)
             return
         if request.extension:
-            # OpenPBS: a delay before the kill, or `force`, which forgets the job without its node's word.
+            # In OpenPBS a delay before the kill, or `force`, which removes the job without the node's
+            # confirmation.
             answer(
                 refusal(
                     n.INVALID_REQUEST, f"-W {request.extension}: not served; a job ends by its node's word"
@@ -75,100 +77,102 @@
         found: JobRecord = record
         answered: list[bool] = []
 
-        def over() -> None:
+        def answer_finished() -> None:
             if answered:
                 return
             answered.append(True)
             timer.cancel()
             answer(Reply(0, n.R_TEXT, text=found.comment))
 
-        def late() -> None:
+        def answer_pending() -> None:
             if not answered:
                 answered.append(True)
                 text = f"{found.id}: no word yet from {found.run_machine or 'its node'}; it will be deleted"
                 answer(Reply(0, n.R_TEXT, text=text))
 
-        timer: Timer = self._site.loop.call_later(DELETE_WAIT_NS, late)
-        self._deletes.setdefault(record.number, []).append(over)
+        timer: Timer = self._site.loop.call_later(DELETE_REPLY_TIMEOUT_NS, answer_pending)
+        self._delete_callbacks.setdefault(record.number, []).append(answer_finished)
         self._site.tell_owner(own.Cancelled(record.number))
 
     def hold(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
-        record = self.live(request)
+        record = self.find_live_job(request)
         if isinstance(record, Reply):
             answer(record)
         elif record.state == "R":
             answer(refusal(n.BAD_STATE, f"{record.id} runs; only a job that waits can be held"))
         else:
-            self._set(record, Attr("Hold_Types", request.get("Hold_Types") or "u"))
+            self._set_attribute(record, Attr("Hold_Types", request.get("Hold_Types") or "u"))
             self._site.tell_owner(own.Hold(record.number))
             answer(Reply())
 
     def release(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
-        record = self.live(request)
+        record = self.find_live_job(request)
         if isinstance(record, Reply):
             answer(record)
             return
-        kinds = request.get("Hold_Types") or "u"
-        held = record.values["Hold_Types"].value if "Hold_Types" in record.values else ""
-        left = "".join(letter for letter in held if letter not in kinds and letter in _HELD)
-        self._set(record, Attr("Hold_Types", left or "n"))
-        if not left:
+        released_types = request.get("Hold_Types") or "u"
+        held_types = record.values["Hold_Types"].value if "Hold_Types" in record.values else ""
+        remaining = "".join(
+            letter for letter in held_types if letter not in released_types and letter in _HOLD_TYPES
+        )
+        self._set_attribute(record, Attr("Hold_Types", remaining or "n"))
+        if not remaining:
             self._site.tell_owner(own.Release(record.number))
         answer(Reply())
 
-    def _set(self, record: JobRecord, attr: Attr) -> None:
+    def _set_attribute(self, record: JobRecord, attr: Attr) -> None:
         record.values[attr.key()] = Attr(attr.name, attr.value, attr.resource)
 
     def modify(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
         if request.user.startswith(n.NODE_USER):
-            self._run_control.update(request)
+            self._run_control.handle_update(request)
             answer(Reply())
             return
-        record = self.live(request)
+        record = self.find_live_job(request)
         if isinstance(record, Reply):
             answer(record)
             return
-        wrong = next((attr.name for attr in request.attrs if attr.name in _READ_ONLY), "")
-        if wrong:
-            answer(refusal(n.READ_ONLY, f"Read only attribute {wrong}"))
+        read_only = next((attr.name for attr in request.attrs if attr.name in _READ_ONLY), "")
+        if read_only:
+            answer(refusal(n.READ_ONLY, f"Read only attribute {read_only}"))
             return
         refused = self._intake.find_unsupported(request.attrs)
         if refused is not None:
             answer(refused)
             return
-        fixed = any(attr.name not in WHILE_RUNNING for attr in request.attrs)
-        if fixed and (record.state not in "HQ" or record.substate not in (10, 20)):
+        needs_unplaced_job = any(attr.name not in WHILE_RUNNING for attr in request.attrs)
+        if needs_unplaced_job and (record.state not in "HQ" or record.substate not in (10, 20)):
             answer(refusal(n.MODIFY_RUNNING, f"{record.id} is being placed or runs"))
             return
         if record.adopted and request.get("Rerunable").lower() in ("y", "true"):
             text = f"its script went with an earlier life of {self._site.name}; it can't be run again"
             answer(refusal(n.BAD_ATTRIBUTE_VALUE, f"{record.id}: {text}"))
             return
-        before = dict(record.values)
+        previous_values = dict(record.values)
         for attr in request.attrs:
-            self._set(record, attr)
+            self._set_attribute(record, attr)
         try:
             self._intake.read_attributes(record, list(record.values.values()))
-            never = self._intake.explain_unplaceable(record, taken=True)
+            unplaceable = self._intake.explain_unplaceable(record, is_accepted=True)
         except ResourceError as fault:
-            never = str(fault)
-        if never:
-            self._intake.read_attributes(record, list(before.values()))
-            answer(refusal(n.BAD_RESOURCE_VALUE, never))
+            unplaceable = str(fault)
+        if unplaceable:
+            self._intake.read_attributes(record, list(previous_values.values()))
+            answer(refusal(n.BAD_RESOURCE_VALUE, unplaceable))
             return
         record.rerunnable = record.rerunnable and not record.adopted
         self._site.tell_owner(own.Altered(record.number, record.rerunnable))
         answer(Reply())
 
     def forward(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
-        """Signal Job and Message Job: the node that runs the job does it."""
-        record = self.live(request)
+        """Forward Signal Job and Message Job to the node that runs the job."""
+        record = self.find_live_job(request)
         if isinstance(record, Reply):
             answer(record)
             return
         if request.type == n.MESSAGE_JOB:
             record.messages.append(request.text)
-        node = self._machine_of(record)
+        node = self._find_machine(record)
         if not node:
             if request.type == n.MESSAGE_JOB:
                 answer(Reply())
@@ -176,8 +180,8 @@
                 answer(refusal(n.BAD_STATE, f"{record.id} does not run"))
             return
         request.job = record.id
-        self._site.links.ask(
-            node, request, FORWARD_NS,
+        self._site.links.send_request(
+            node, request, FORWARD_TIMEOUT_NS,
             lambda reply: answer(reply or refusal(n.NODE_DOWN, f"{node} does not answer")),
         )  # fmt: skip
 
@@ -186,5 +190,5 @@
         answer(Reply(0, n.R_LOCATE, job=self._site.name) if record else refusal(n.UNKNOWN_JOB))
 
     def obituary(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
-        self._run_control.obituary(request)
+        self._run_control.handle_obituary(request)
         answer(Reply())
--- a/ladderhub/server/nodetracker.py
+++ b/ladderhub/server/nodetracker.py
@@ -1,4 +1,4 @@
-"""The nodes: lists as the directory tells them, nodes taken off by hand, and what nodes already run."""
+"""Nodes: lists from the directory, nodes set offline by operators, and adoption of runs found on nodes."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from ladderhub.server.intake import Intake
 from ladderhub.server.nodelist import NodeList
 from ladderhub.server.site import Site
-from ladderhub.server.runcontrol import QUERY_NS, RunControl, parse_int
+from ladderhub.server.runcontrol import QUERY_TIMEOUT_NS, RunControl, parse_int
 from ladderhub.usage.processor import Cause
 from ladderhub.usage.traffic import DIRECTORY
 
 S = 1_000_000_000
 ADOPT_RETRY_NS = 1 * S
 _STAGES = {"serving": api.Stage.SERVING, "draining": api.Stage.DRAINING, "gone": api.Stage.GONE}
-_OF_THE_OFFER = (
+_OFFER_ATTRIBUTES = (
     "job_state",
     "server",
     "server_address",
@@ -33,28 +33,28 @@
 
 
 class NodeTracker:
-    """The part of the daemon that follows the directory.  `list` has the entries as last told."""
+    """The part of the daemon that follows the directory.  `node_list` holds the latest entries."""
 
     def __init__(self, site: Site, run_control: RunControl, intake: Intake) -> None:
         self._site, self._run_control, self._intake = site, run_control, intake
-        count = site.traffic.of(DIRECTORY)
+        traffic = site.traffic.of(DIRECTORY)
         self.node_list = NodeList(
-            site.loop, site.settings.directory, site.name, site.folder, self._on_list, count
+            site.loop, site.settings.directory, site.name, site.folder, self._on_list, traffic
         )
         site.metrics.gauge("nodes", "Nodes listed", lambda: len(self.node_list.entries))
         self.offline: set[str] = set()
-        self._heard: dict[str, int] = {}  # node -> start time at which it said what it runs
-        self._gone: set[str] = set()
-        self._whole = False  # a full list came in this life
-        self._ready: dict[str, int] = {}  # node -> start time as last listed
-        self._asked: dict[str, int] = {}  # node -> start time at which it was asked what it runs
+        self._reported_ns: dict[str, int] = {}  # node -> start time for which it reported its runs
+        self._gone_nodes: set[str] = set()
+        self._has_full_list = False  # a full list was received since the start of this process
+        self._listed_ns: dict[str, int] = {}  # node -> start time in the latest list
+        self._queried_ns: dict[str, int] = {}  # node -> start time for which its runs were queried
         self._cells: dict[str, int] = {}
         zone = site.settings.file.zone
         self._zones: dict[str, int] = {zone: 0} if zone else {}
         self._open_kinds = set(site.settings.kinds.current)
-        site.on_settings.append(self._kinds_changed)
+        site.on_settings.append(self._on_kinds_changed)
 
-    # --- as a part ------------------------------------------------------------------------------------------
+    # --- part of the daemon ---------------------------------------------------------------------------------
 
     def start(self) -> None:
         with self._site.processor.section(Cause.LISTS):
@@ -70,48 +70,49 @@
         self.node_list.close()
 
     def get_listed_kinds(self) -> set[str]:
-        """Kinds of the nodes that are listed."""
+        """Return the kinds of all listed nodes."""
         return {entry.kind for entry in self.node_list.entries.values()}
 
     def find_unreported_nodes(self) -> set[str] | None:
-        """Nodes that have not said yet what they run; None before the directory has told all nodes."""
-        if not self._whole:
+        """Return the nodes that have not reported their runs yet; None before the first full list."""
+        if not self._has_full_list:
             return None
         return {
             name for name, entry in self.node_list.entries.items()
-            if self._site.settings.kinds.is_known(entry.kind) and self._heard.get(name) != entry.ready_ns
+            if self._site.settings.kinds.is_known(entry.kind)
+            and self._reported_ns.get(name) != entry.ready_ns
         }  # fmt: skip
 
     # --- lists ----------------------------------------------------------------------------------------------
 
     def _on_list(self, kind: api.ListKind, version: int, entries: list[Entry]) -> None:
-        self._whole = self._whole or kind is api.ListKind.FULL
+        self._has_full_list = self._has_full_list or kind is api.ListKind.FULL
         known: list[api.MachineEntry] = []
-        anew: list[str] = []
+        restarted: list[str] = []
         for entry in entries:
             if not self._site.settings.kinds.is_known(entry.kind):
                 self._site.log.error("unknown kind of node", node=entry.name, kind=entry.kind)
                 continue
-            self._site.links.place(entry.name, parse_address(entry.address))
-            if 0 < self._ready.get(entry.name, 0) < entry.ready_ns:
-                anew.append(entry.name)
-            self._ready[entry.name] = entry.ready_ns
-            known.append(self._machine(entry))
+            self._site.links.set_address(entry.name, parse_address(entry.address))
+            if 0 < self._listed_ns.get(entry.name, 0) < entry.ready_ns:
+                restarted.append(entry.name)
+            self._listed_ns[entry.name] = entry.ready_ns
+            known.append(self._build_machine_entry(entry))
         self._site.tell_module(api.MachineList(kind, version, tuple(known)))
-        self._tell_nodes(kind, entries, anew)
-        for name in anew:
+        self._notify_node_changes(kind, entries, restarted)
+        for name in restarted:
             self._site.tell_owner(own.MachineRestarted(name))
         gone = {entry.name for entry in entries if entry.stage == "gone"}
         if kind is api.ListKind.FULL:
-            gone |= set(self._ready) - {entry.name for entry in entries}
+            gone |= set(self._listed_ns) - {entry.name for entry in entries}
         for name in sorted(gone):
             self._site.tell_owner(own.MachineGone(name))
         for entry in entries:
             if entry.stage != "gone" and self._site.settings.kinds.is_known(entry.kind):
-                self._ask_node(entry.name)
+                self._query_node(entry.name)
 
-    def _kinds_changed(self) -> None:
-        """Nodes of a kind that is new are known from now on; those of one that is gone get nothing more."""
+    def _on_kinds_changed(self) -> None:
+        """Apply changed kinds: nodes of a new kind become known, those of a removed one get no more jobs."""
         kinds = set(self._site.settings.kinds.current)
         changed = kinds ^ self._open_kinds
         self._open_kinds = kinds
@@ -119,20 +120,20 @@
         if entries:
             self._on_list(api.ListKind.CHANGES, self.node_list.version, entries)
 
-    def _tell_nodes(self, kind: api.ListKind, entries: list[Entry], anew: list[str]) -> None:
+    def _notify_node_changes(self, kind: api.ListKind, entries: list[Entry], restarted: list[str]) -> None:
         listed = {entry.name for entry in entries if entry.stage != "gone"}
         gone = {entry.name for entry in entries if entry.stage == "gone"}
         if kind is api.ListKind.FULL:
-            gone |= set(self._ready) - listed
-        fresh = gone - self._gone
-        back = listed & (self._gone | set(anew))
-        self._gone = (self._gone | gone) - listed
-        for names, here in ((fresh | set(anew), False), (back, True)):
+            gone |= set(self._listed_ns) - listed
+        newly_gone = gone - self._gone_nodes
+        returned = listed & (self._gone_nodes | set(restarted))
+        self._gone_nodes = (self._gone_nodes | gone) - listed
+        for names, is_present in ((newly_gone | set(restarted), False), (returned, True)):
             for name in sorted(names):
-                for told in self._site.on_node:
-                    told(name, here)
+                for callback in self._site.on_node:
+                    callback(name, is_present)
 
-    def _machine(self, entry: Entry) -> api.MachineEntry:
+    def _build_machine_entry(self, entry: Entry) -> api.MachineEntry:
         stage = _STAGES[entry.stage]
         kinds = self._site.settings.kinds
         if stage is api.Stage.SERVING and (entry.name in self.offline or not kinds.is_open(entry.kind)):
@@ -149,10 +150,10 @@
         )
 
     def set_offline(self, name: str, offline: bool, done: Callable[[Reply], None]) -> None:
-        """`pbsnodes -o` and `-r`: this scheduler heeds it at once, the node tells the directory."""
+        """Serve `pbsnodes -o` and `-r`: applied here at once; the node reports it to the directory."""
         (self.offline.add if offline else self.offline.discard)(name)
         entry = self.node_list.entries[name]
-        changed = (self._machine(entry),)
+        changed = (self._build_machine_entry(entry),)
         self._site.tell_module(api.MachineList(api.ListKind.CHANGES, self.node_list.version, changed))
         state = [Attr("state", "offline" if offline else "free")]
         request = Request(
@@ -163,43 +164,45 @@
             object_type=n.OBJ_NODE,
             name=name,
         )
-        mine = self._site.name
-        text = f"{name} did not answer; it gets nothing more from {mine}, other schedulers are not told"
-        self._site.links.ask(
-            name, request, QUERY_NS,
+        server = self._site.name
+        text = f"{name} did not answer; it gets nothing more from {server}, other schedulers are not told"
+        self._site.links.send_request(
+            name, request, QUERY_TIMEOUT_NS,
             lambda reply: done(reply if reply is not None else Reply(n.NODE_DOWN, n.R_TEXT, text=text)),
         )  # fmt: skip
 
-    def _ask_node(self, name: str) -> None:
-        """Once in each life of a node: what does it run of ours that we do not know?"""
-        if self._asked.get(name) == self._ready[name]:
+    def _query_node(self, name: str) -> None:
+        """Query the runs of a node, once in each of its lives, to adopt unknown runs of this scheduler."""
+        if self._queried_ns.get(name) == self._listed_ns[name]:
             return
-        self._asked[name] = self._ready[name]
+        self._queried_ns[name] = self._listed_ns[name]
         request = Request(n.STATUS_JOB, f"scheduler@{self._site.name}")
-        self._site.links.ask(name, request, QUERY_NS, lambda reply: self._adopt(name, reply))
+        self._site.links.send_request(
+            name, request, QUERY_TIMEOUT_NS, lambda reply: self._adopt_runs(name, reply)
+        )
 
-    def _adopt(self, name: str, reply: Reply | None) -> None:
+    def _adopt_runs(self, name: str, reply: Reply | None) -> None:
         if reply is None:
-            self._asked.pop(name, None)
+            self._queried_ns.pop(name, None)
             if name in self.node_list.entries:
-                self._site.loop.call_later(ADOPT_RETRY_NS, self._ask_node, name)
+                self._site.loop.call_later(ADOPT_RETRY_NS, self._query_node, name)
             return
-        self._heard[name] = self._asked.get(name, 0)
+        self._reported_ns[name] = self._queried_ns.get(name, 0)
         for row in reply.rows:
             run = parse_int(row.get("run_version"))
             if row.get("server") != self._site.name or row.name in self._site.jobs.by_id:
                 continue
             queues = self._site.settings.queues
-            if self._run_control.ended_before(row.name, run) or not queues.is_known(row.get("queue")):
+            if self._run_control.has_reported_end(row.name, run) or not queues.is_known(row.get("queue")):
                 continue
             queue = queues.index(row.get("queue"))
             record = self._site.jobs.add(row.name, queue, parse_int(row.get("ctime")) * S)
             self._intake.read_attributes(
-                record, [attr for attr in row.attrs if attr.name not in _OF_THE_OFFER]
+                record, [attr for attr in row.attrs if attr.name not in _OFFER_ATTRIBUTES]
             )
             record.service, record.answer_ns = row.get("service") or record.name, self._site.loop.now_ns()
             record.run, record.run_machine, record.answer = run, name, own.Answer.PLACED.value
-            record.adopted, record.rerunnable = True, False  # its script went with the earlier life
+            record.adopted, record.rerunnable = True, False  # its script was lost with the earlier process
             record.start_ns = self._site.loop.now_ns()
             record.revision = self._site.revision.number
             self._site.log.info("adopted", job=record.id, node=name, run=run)
--- a/ladderhub/server/ownerexecutor.py
+++ b/ladderhub/server/ownerexecutor.py
@@ -1,4 +1,4 @@
-"""Carries out what the owner's decisions say: asks, queries, stops, answers, ends, and what `qstat` shows."""
+"""Executes the actions of the owner module, and keeps the job states that `qstat` shows."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from ladderhub.server.site import Site
 from ladderhub.server.runcontrol import RunControl
 
-_LETTERS = {"held": ("H", 20), "running": ("R", 42), "stopping": ("E", 50), "waiting": ("Q", 10)}
+_STATE_CODES = {"held": ("H", 20), "running": ("R", 42), "stopping": ("E", 50), "waiting": ("Q", 10)}
 
 
 class OwnerExecutor:
-    """Carrier of the owner's decisions, and the part of the daemon that owes answers."""
+    """Executes the actions of the owner module; as a part of the daemon, it counts jobs without an answer."""
 
     def __init__(self, site: Site, placement: PlacementExecutor, run_control: RunControl) -> None:
         self._site, self._placement, self._run_control = site, placement, run_control
-        self._wakes: dict[int, Timer] = {}
+        self._timers: dict[int, Timer] = {}
         site.metrics.gauge("jobs_live", "Jobs not finished", lambda: len(site.jobs.live))
         site.metrics.gauge("jobs_owed", "Jobs without an answer", site.owner.count_unanswered)
         site.metrics.gauge("strays", "Unwanted runs not yet stopped", site.owner.count_orphans)
 
-    # --- as a part ------------------------------------------------------------------------------------------
+    # --- part of the daemon ---------------------------------------------------------------------------------
 
     def start(self) -> None:
         return
@@ -37,30 +37,30 @@
     def close(self) -> None:
         return
 
-    # --- what the owner decides -----------------------------------------------------------------------------
+    # --- actions of the owner module ------------------------------------------------------------------------
 
     def execute(self, now: int, action: own.Action) -> None:
         if isinstance(action, own.SetTimer):
-            old = self._wakes.pop(action.job, None)
-            if old is not None:
-                old.cancel()
-            self._wakes[action.job] = self._site.loop.call_at(action.at_ns, self._wake, action.job)
+            previous = self._timers.pop(action.job, None)
+            if previous is not None:
+                previous.cancel()
+            self._timers[action.job] = self._site.loop.call_at(action.at_ns, self._on_timer, action.job)
         elif isinstance(action, own.Query | own.Stop):
-            self._run_control.ask(action)
+            self._run_control.send(action)
         else:
             record = self._site.jobs.live.get(action.job)
             if record is not None:
-                self._carry_job(now, record, action)
+                self._execute_for_job(now, record, action)
 
-    def _carry_job(self, now: int, record: JobRecord, action: own.Action) -> None:
+    def _execute_for_job(self, now: int, record: JobRecord, action: own.Action) -> None:
         match action:
             case own.RequestPlacement():
-                self._placement.ask(now, record, action)
+                self._placement.request_placement(now, record, action)
             case own.Withdraw():
                 if record.task >= 0:
                     self._site.tell_module(api.TaskWithdrawn(record.task))
-            case own.Adopt(_, ask, run, machine):
-                self._placement.adopt(now, record, ask, run, machine)
+            case own.Adopt(_, request_id, run, machine):
+                self._placement.adopt(now, record, request_id, run, machine)
             case own.ReportAnswer(_, answer, reason):
                 record.answer, record.answer_ns, record.comment = answer.value, now, reason
                 self._site.metrics.answered(answer)
@@ -72,47 +72,47 @@
                 self._finish(now, record, status, reason)
 
     def _finish(self, now: int, record: JobRecord, status: int, reason: str) -> None:
-        self._placement.leave(record)
+        self._placement.withdraw_task(record)
         record.exit_status = status
         if reason:
             record.comment = reason
-        timer = self._wakes.pop(record.number, None)
+        timer = self._timers.pop(record.number, None)
         if timer is not None:
             timer.cancel()
         self._site.jobs.finish(record, now)
         self._site.log.info("finished", job=record.id, status=status, reason=reason)
-        for told in self._site.on_finished:
-            told(record)
+        for callback in self._site.on_finished:
+            callback(record)
 
-    def _wake(self, job: int) -> None:
-        self._wakes.pop(job, None)
+    def _on_timer(self, job: int) -> None:
+        self._timers.pop(job, None)
         self._site.tell_owner(own.TimerFired(job))
 
     def on_handled(self, event: own.Event) -> None:
-        """State, place and reason as `qstat` gives them."""
+        """Update the state, machine and reason that `qstat` shows, for the jobs that the event concerns."""
         if isinstance(event, own.RequestsResumed):
             for waiting in list(self._site.jobs.live.values()):
-                self._show(waiting)
+                self._update_shown_state(waiting)
             return
         number = getattr(event, "job", None)
         record = self._site.jobs.live.get(number) if number is not None else None
         if record is None:
             if number is not None and isinstance(event, own.MachineReplied | own.Ended | own.NeverRan):
-                for hears in self._site.on_news:
-                    hears(number)
+                for callback in self._site.on_news:
+                    callback(number)
             return
-        self._show(record)
-
-    def _show(self, record: JobRecord) -> None:
-        state, why = self._site.owner.get_state(record.number)
-        ran = record.state == "R"
-        record.state, record.substate = _LETTERS.get(state, ("Q", 14 if state == "asking" else 16))
-        placed = self._site.runs.placed_at(record.number)
-        record.run_machine = placed[-1] if placed else ""
+        self._update_shown_state(record)
+
+    def _update_shown_state(self, record: JobRecord) -> None:
+        state, state_reason = self._site.owner.get_state(record.number)
+        was_running = record.state == "R"
+        record.state, record.substate = _STATE_CODES.get(state, ("Q", 14 if state == "asking" else 16))
+        machines = self._site.runs.get_machines(record.number)
+        record.run_machine = machines[-1] if machines else ""
         if state == "running" and not record.start_ns:
             record.start_ns = self._site.loop.now_ns()
-        if state != "running" or why:
-            record.comment = why or record.comment
-        if (record.state == "R") != ran and record.state != "E":
-            for told in self._site.on_placed if record.state == "R" else self._site.on_unplaced:
-                told(record)
+        if state != "running" or state_reason:
+            record.comment = state_reason or record.comment
+        if (record.state == "R") != was_running and record.state != "E":
+            for callback in self._site.on_placed if record.state == "R" else self._site.on_unplaced:
+                callback(record)
--- a/ladderhub/server/placing.py
+++ b/ladderhub/server/placing.py
@@ -1,6 +1,6 @@
-"""Carries out what the decision module says: offers on their way, their outcomes, timers.
+"""Executes the actions of the decision module: sends offers, reports their outcomes, sets timers.
 
-A task of the module is one ask of a job; a run is one offer that left for a node.
+A task of the decision module is one placement request of a job; a run is one offer sent to a node.
 """
 
 from __future__ import annotations
@@ -10,58 +10,67 @@
 from ladderhub.pbs import names as n
 from ladderhub.pbs.batch import Attr, Request
 from ladderhub.pbs.resources import GIB, format_size
-from ladderhub.server.jobs import JobRecord, stamp
-from ladderhub.server.offer import Result
-from ladderhub.server.runs import OutRun
+from ladderhub.server.jobs import JobRecord, format_timestamp
+from ladderhub.server.offer import OfferResult
+from ladderhub.server.runs import RunRecord
 from ladderhub.server.site import Site
 from ladderhub.usage.processor import Cause
 
 S = 1_000_000_000
 NEVER_RAN = (api.Outcome.REFUSED, api.Outcome.UNREACHABLE, api.Outcome.NEVER_SENT)
-_WORDS = {api.Reason.CORES: "no cores", api.Reason.MEMORY: "no memory", api.Reason.LINE_FULL: "line full"}
+_REASON_TEXTS = {
+    api.Reason.CORES: "no cores",
+    api.Reason.MEMORY: "no memory",
+    api.Reason.LINE_FULL: "line full",
+}
 
 
 class PlacementExecutor:
-    """Carrier of the decision module."""
+    """Executes the actions of the decision module."""
 
     def __init__(self, site: Site) -> None:
         self._site = site
 
-    # --- what others want placed ----------------------------------------------------------------------------
+    # --- placement requests ---------------------------------------------------------------------------------
 
-    def ask(self, now: int, record: JobRecord, action: own.RequestPlacement) -> None:
-        """Hand one ask of the job to the module, in place of an earlier one."""
-        self.leave(record)
-        task = self._site.runs.new_task(record, action.request_id, now + action.budget_ns)
-        event = self._asked_event(record, task, action.budget_ns, action.is_retry, action.effect)
+    def request_placement(self, now: int, record: JobRecord, action: own.RequestPlacement) -> None:
+        """Pass a placement request of the job to the decision module; it replaces any earlier one."""
+        self.withdraw_task(record)
+        task = self._site.runs.add_task(record, action.request_id, now + action.budget_ns)
+        event = self._build_task_asked(record, task, action.budget_ns, action.is_retry, action.effect)
         self._site.tell_module(event)
 
-    def adopt(self, now: int, record: JobRecord, ask: int, run: int, machine: str) -> None:
-        """Hand the module a run that stands already."""
-        self.leave(record)
-        task = self._site.runs.new_task(record, ask, now)
-        self._site.runs.tasks[task].sent = 1
-        out = OutRun(task, 0, machine, now)
-        out.placed = True
-        self._site.runs.add(record.number, run, out)
-        self._site.tell_module(api.TaskOpen(self._asked_event(record, task, 0, True), machine))
-
-    def leave(self, record: JobRecord) -> None:
-        """The job's present task is no more: the module hears the end of what it still counts as out."""
+    def adopt(self, now: int, record: JobRecord, request_id: int, run: int, machine: str) -> None:
+        """Tell the decision module of a run that exists already."""
+        self.withdraw_task(record)
+        task = self._site.runs.add_task(record, request_id, now)
+        self._site.runs.tasks[task].attempts_sent = 1
+        run_record = RunRecord(task, 0, machine, now)
+        run_record.placed = True
+        self._site.runs.add(record.number, run, run_record)
+        self._site.tell_module(api.TaskOpen(self._build_task_asked(record, task, 0, True), machine))
+
+    def withdraw_task(self, record: JobRecord) -> None:
+        """Withdraw the job's current task, and report its attempts without an outcome as lost."""
         if record.task < 0:
             return
-        for out in self._site.runs.of_task(record.task):
-            if out.open:
-                out.open = False
+        for run_record in self._site.runs.get_task_runs(record.task):
+            if run_record.outcome_pending:
+                run_record.outcome_pending = False
                 event = api.AttemptEnded(
-                    out.task, out.attempt, out.machine, api.Outcome.LOST, api.Reason.UNKNOWN, True
+                    run_record.task,
+                    run_record.attempt,
+                    run_record.machine,
+                    api.Outcome.LOST,
+                    api.Reason.UNKNOWN,
+                    True,
                 )
                 self._site.tell_module(event)
         self._site.tell_module(api.TaskWithdrawn(record.task))
         record.task = -1
 
-    def _asked_event(
-        self, record: JobRecord, task: int, budget: int, again: bool, effect: api.Effect | None = None
+    def _build_task_asked(
+        self, record: JobRecord, task: int, budget_ns: int, is_retry: bool, effect: api.Effect | None = None
     ) -> api.TaskAsked:
         return api.TaskAsked(
             task=task,
@@ -70,38 +79,40 @@
             service=record.service,
             cores=record.cores,
             memory=record.memory,
-            budget_ns=budget,
+            budget_ns=budget_ns,
             tenant=self._site.settings.tenant_index(record.account),
             life_hint_ns=record.walltime_s * S or None,
-            came_again=again,
+            came_again=is_retry,
             effect=effect,
         )
 
-    # --- what the module decides ----------------------------------------------------------------------------
+    # --- actions of the decision module ---------------------------------------------------------------------
 
     def execute(self, now: int, action: api.Action) -> None:
-        # Also where a list or a lease made the decision: what it leads to is work on jobs.
-        self._site.processor.run(Cause.JOBS, self._carry, now, action)
+        # Counted as work on jobs, even if the decision was caused by a node list or a lease.
+        self._site.processor.run(Cause.JOBS, self._execute, now, action)
 
-    def _carry(self, now: int, action: api.Action) -> None:
+    def _execute(self, now: int, action: api.Action) -> None:
         match action:
             case api.Send(task, machine, timeout):
                 self._send(now, task, machine, timeout)
             case api.SetTimer(at, timer):
                 self._site.loop.call_at(at, self._site.tell_module, api.TimerFired(timer))
             case api.Refuse(task) | api.Fail(task):
-                asked = self._site.runs.tasks.get(task)
-                if asked is not None:
+                task_record = self._site.runs.tasks.get(task)
+                if task_record is not None:
                     failed = isinstance(action, api.Fail)
-                    self._site.tell_owner(own.PlacementRejected(asked.record.number, asked.ask, failed))
+                    self._site.tell_owner(
+                        own.PlacementRejected(task_record.record.number, task_record.request_id, failed)
+                    )
             case api.Abort(task, attempt):
-                for out in self._site.runs.of_task(task):
-                    if out.attempt == attempt and out.call is not None:
-                        out.call.call_off()
+                for run_record in self._site.runs.get_task_runs(task):
+                    if run_record.attempt == attempt and run_record.call is not None:
+                        run_record.call.cancel()
             case api.Move(task):
-                asked = self._site.runs.tasks.get(task)
-                if asked is not None:
-                    self._site.tell_owner(own.Rerun(asked.record.number))
+                task_record = self._site.runs.tasks.get(task)
+                if task_record is not None:
+                    self._site.tell_owner(own.Rerun(task_record.record.number))
             case api.Log(text):
                 self._site.log.info("module", text=text)
             case _:
@@ -114,34 +125,39 @@
             self._site.settings_in_force(event)
 
     def _send(self, now: int, task: int, machine: str, timeout: int | None) -> None:
-        asked = self._site.runs.tasks[task]
-        record, attempt = asked.record, asked.sent
-        asked.sent += 1
-        if record.task != task:  # the job left this ask while the module's answer to an earlier event waited
+        task_record = self._site.runs.tasks[task]
+        record, attempt = task_record.record, task_record.attempts_sent
+        task_record.attempts_sent += 1
+        if record.task != task:  # the job's task was replaced or withdrawn while this action was queued
             unsent = api.AttemptEnded(task, attempt, machine, api.Outcome.NEVER_SENT, concluded=True)
             self._site.tell_module(unsent)
             return
         record.run += 1
         run = record.run
-        out = OutRun(task, attempt, machine, now)
-        out.revision = record.revision = self._site.revision.number
-        self._site.runs.add(record.number, run, out)
-        left = asked.until_ns - now
-        span = left if timeout is None else min(left, timeout)
-        self._site.tell_owner(own.Sent(record.number, asked.ask, run, machine))
+        run_record = RunRecord(task, attempt, machine, now)
+        run_record.revision = record.revision = self._site.revision.number
+        self._site.runs.add(record.number, run, run_record)
+        remaining_ns = task_record.deadline_ns - now
+        offer_timeout_ns = remaining_ns if timeout is None else min(remaining_ns, timeout)
+        self._site.tell_owner(own.Sent(record.number, task_record.request_id, run, machine))
         self._site.metrics.offers += 1
-        self._site.log.debug("offer", job=record.id, run=run, node=machine, revision=out.revision)
-        request = self._queue_job(record, run)
-        out.call = self._site.links.offer(
-            machine, request, record.script, span, lambda result: self._offer_done(record, run, out, result)
+        self._site.log.debug("offer", job=record.id, run=run, node=machine, revision=run_record.revision)
+        request = self._build_queue_job(record, run)
+        run_record.call = self._site.links.send_offer(
+            machine,
+            request,
+            record.script,
+            offer_timeout_ns,
+            lambda result: self._on_offer_result(record, run, run_record, result),
         )
 
-    def _queue_job(self, record: JobRecord, run: int) -> Request:
+    def _build_queue_job(self, record: JobRecord, run: int) -> Request:
         attrs = [
             Attr("Job_Name", record.name), Attr("Job_Owner", record.owner), Attr("service", record.service),
             Attr("queue", self._site.settings.queues.all[record.queue]), Attr("run_version", str(run)),
             Attr("server", self._site.name), Attr("server_address", self._site.advertise),
-            Attr("Rerunable", "True" if record.rerunnable else "False"), Attr("ctime", stamp(record.made_ns)),
+            Attr("Rerunable", "True" if record.rerunnable else "False"),
+            Attr("ctime", format_timestamp(record.created_ns)),
             Attr("Resource_List", f"{record.cores:g}", "ncpus"),
             Attr("Resource_List", format_size(round(record.memory * GIB)), "mem"),
         ]  # fmt: skip
@@ -154,35 +170,49 @@
         attrs += [a for key, a in record.values.items() if key not in skip and key not in names]
         return Request(n.QUEUE_JOB, f"scheduler@{self._site.name}", record.id, attrs, destination="node")
 
-    def _offer_done(self, record: JobRecord, run: int, out: OutRun, result: Result) -> None:
-        out.call = None
-        elapsed = self._site.loop.now_ns() - out.sent_ns
+    def _on_offer_result(
+        self, record: JobRecord, run: int, run_record: RunRecord, result: OfferResult
+    ) -> None:
+        run_record.call = None
+        elapsed_ns = self._site.loop.now_ns() - run_record.sent_ns
         if result.placed:
-            out.placed = True
-            self._site.metrics.start(elapsed)
+            run_record.placed = True
+            self._site.metrics.start(elapsed_ns)
             self._site.tell_owner(own.Accepted(record.number, run))
-            if out.open:
-                self._site.tell_module(api.TaskPlaced(out.task, out.attempt, out.machine, elapsed))
+            if run_record.outcome_pending:
+                self._site.tell_module(
+                    api.TaskPlaced(run_record.task, run_record.attempt, run_record.machine, elapsed_ns)
+                )
             return
-        words = result.text or _WORDS.get(result.reason, result.outcome.name.lower())
-        text = f"{out.machine}: {words}"
+        explanation = result.text or _REASON_TEXTS.get(result.reason, result.outcome.name.lower())
+        text = f"{run_record.machine}: {explanation}"
         self._site.metrics.ended(result.outcome)
         self._site.log.info(
-            "turned away", job=record.id, run=run, node=out.machine, outcome=result.outcome.name,
-            reason=result.reason.name, text=words, revision=out.revision,
+            "turned away", job=record.id, run=run, node=run_record.machine, outcome=result.outcome.name,
+            reason=result.reason.name, text=explanation, revision=run_record.revision,
         )  # fmt: skip
         if result.outcome in NEVER_RAN:
-            self._site.runs.forget(record.number, run)
+            self._site.runs.remove(record.number, run)
             self._site.tell_owner(own.NeverRan(record.number, run, text))
         else:
             self._site.tell_owner(own.InDoubt(record.number, run, text))
-        self.tell_end(out, result.outcome, result.reason, concluded=False)
-
-    def tell_end(self, out: OutRun, outcome: api.Outcome, reason: api.Reason, concluded: bool) -> None:
-        """The module hears one outcome of each attempt, whichever news comes first."""
-        if out.open:
-            out.open = False
-            elapsed = self._site.loop.now_ns() - out.sent_ns
+        self.report_outcome(run_record, result.outcome, result.reason, concluded=False)
+
+    def report_outcome(
+        self, run_record: RunRecord, outcome: api.Outcome, reason: api.Reason, concluded: bool
+    ) -> None:
+        """Report the outcome of an attempt to the decision module; only the first one is reported."""
+        if run_record.outcome_pending:
+            run_record.outcome_pending = False
+            elapsed_ns = self._site.loop.now_ns() - run_record.sent_ns
             self._site.tell_module(
-                api.AttemptEnded(out.task, out.attempt, out.machine, outcome, reason, concluded, elapsed)
+                api.AttemptEnded(
+                    run_record.task,
+                    run_record.attempt,
+                    run_record.machine,
+                    outcome,
+                    reason,
+                    concluded,
+                    elapsed_ns,
+                )
             )
--- a/ladderhub/server/runcontrol.py
+++ b/ladderhub/server/runcontrol.py
@@ -1,4 +1,4 @@
-"""Words of nodes about runs: questions and stops sent to them, ends and news that come from them."""
+"""Queries and stops runs on nodes, and processes the ends and updates that nodes report."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from ladderhub.owner import types as own
 from ladderhub.pbs import names as n
 from ladderhub.pbs.batch import Attr, Reply, Request
-from ladderhub.server.offer import COMMITTED
+from ladderhub.server.offer import COMMITTED_STATES
 from ladderhub.server.placing import PlacementExecutor
 from ladderhub.server.site import Site
 
-QUERY_NS = 1_000_000_000
-OBITS_KEPT = 10_000
+QUERY_TIMEOUT_NS = 1_000_000_000
+MAX_ENDS_OF_UNKNOWN_JOBS = 10_000
 _ENDS = {
     n.END_DONE: own.End.DONE, n.END_KILLED: own.End.KILLED, n.END_EVICTED: own.End.EVICTED,
     n.END_DISPLACED: own.End.DISPLACED, n.END_SENT_AWAY: own.End.SENT_AWAY,
@@ -25,25 +25,25 @@
 
 
 class RunControl:
-    """What is asked of nodes about runs, and what they tell."""
+    """Sends queries and stops for runs, and passes what nodes report to the decision modules."""
 
     def __init__(self, site: Site, placement: PlacementExecutor) -> None:
         self._site, self._placement = site, placement
-        self._unknown_ends: OrderedDict[tuple[str, int], None] = OrderedDict()
+        self._ends_of_unknown_jobs: OrderedDict[tuple[str, int], None] = OrderedDict()
 
-    def ended_before(self, job: str, run: int) -> bool:
-        """Whether the end of this run was told while its job was not known."""
-        return (job, run) in self._unknown_ends
+    def has_reported_end(self, job: str, run: int) -> bool:
+        """Whether a node reported the end of this run while its job was unknown here."""
+        return (job, run) in self._ends_of_unknown_jobs
 
-    def ask(self, action: own.Query | own.Stop) -> None:
-        """Send the word to the node; what it says comes to the owner's decisions."""
+    def send(self, action: own.Query | own.Stop) -> None:
+        """Send the query or stop to the node; the reply is passed to the owner module."""
         record = self._site.jobs.by_number.get(action.job)
-        out = self._site.runs.get(action.job, action.run)
+        run_record = self._site.runs.get(action.job, action.run)
         if record is None:
             return
-        call = out.call if out is not None else None
-        if isinstance(action, own.Stop) and call is not None and call.steps.state not in COMMITTED:
-            call.call_off()  # nothing was committed, so this proves that nothing runs
+        call = run_record.call if run_record is not None else None
+        if isinstance(action, own.Stop) and call is not None and call.offer.state not in COMMITTED_STATES:
+            call.cancel()  # Commit was not sent, so nothing runs
             return
         user = f"scheduler@{self._site.name}"
         if isinstance(action, own.Query):
@@ -53,22 +53,24 @@
             request = Request(
                 n.DELETE_JOB, user, record.id, version, command=n.CMD_DELETE, object_type=n.OBJ_JOB
             )
-        self._site.links.ask(
-            action.machine, request, QUERY_NS,
-            lambda reply: self._said(action, reply),
+        self._site.links.send_request(
+            action.machine, request, QUERY_TIMEOUT_NS,
+            lambda reply: self._on_reply(action, reply),
         )  # fmt: skip
 
-    def _said(self, action: own.Query | own.Stop, reply: Reply | None) -> None:
+    def _on_reply(self, action: own.Query | own.Stop, reply: Reply | None) -> None:
         if reply is None:
             self._site.tell_owner(own.MachineReplied(action.job, action.run, own.RunStatus.SILENT))
         elif reply.code == n.UNKNOWN_JOB:
-            out = self._site.runs.get(action.job, action.run)
-            self._site.runs.forget(action.job, action.run)
-            if out is not None:
-                self._placement.tell_end(out, api.Outcome.LOST, api.Reason.UNKNOWN, concluded=True)
+            run_record = self._site.runs.get(action.job, action.run)
+            self._site.runs.remove(action.job, action.run)
+            if run_record is not None:
+                self._placement.report_outcome(
+                    run_record, api.Outcome.LOST, api.Reason.UNKNOWN, concluded=True
+                )
             self._site.tell_owner(own.MachineReplied(action.job, action.run, own.RunStatus.NEVER))
         elif reply.code == n.BAD_STATE and isinstance(action, own.Stop):
-            self.ask(own.Query(action.job, action.run, action.machine))
+            self.send(own.Query(action.job, action.run, action.machine))
         elif reply.code:
             self._site.tell_owner(own.MachineReplied(action.job, action.run, own.RunStatus.SILENT))
         elif isinstance(action, own.Stop):
@@ -79,19 +81,21 @@
                 status = parse_int(row.get("Exit_status"))
                 self._run_ended(action.job, action.run, row.get("exit_reason"), status)
             elif row is not None:
-                out = self._site.runs.get(action.job, action.run)
-                if out is not None:
-                    out.placed = True
+                run_record = self._site.runs.get(action.job, action.run)
+                if run_record is not None:
+                    run_record.placed = True
                 self._site.tell_owner(own.MachineReplied(action.job, action.run, own.RunStatus.RUNS))
 
-    def obituary(self, request: Request) -> None:
-        """A node reports the end of a run; what is not known here is only remembered for a while."""
+    def handle_obituary(self, request: Request) -> None:
+        """Process the end of a run, reported by its node.
+
+        The end of an unknown job is only remembered, for the latest `MAX_ENDS_OF_UNKNOWN_JOBS` of them."""
         record = self._site.jobs.by_id.get(request.job)
         run = parse_int(request.get("run_version"))
         if record is None:
-            self._unknown_ends[request.job, run] = None
-            while len(self._unknown_ends) > OBITS_KEPT:
-                self._unknown_ends.popitem(last=False)
+            self._ends_of_unknown_jobs[request.job, run] = None
+            while len(self._ends_of_unknown_jobs) > MAX_ENDS_OF_UNKNOWN_JOBS:
+                self._ends_of_unknown_jobs.popitem(last=False)
             return
         report = api.LoadReport(
             parse_float(request.get("load.cores_free")), parse_float(request.get("load.memory_free"))
@@ -99,35 +103,46 @@
         self._run_ended(record.number, run, request.get("exit_reason"), request.status, report)
 
     def _run_ended(
-        self, number: int, run: int, word: str, status: int, report: api.LoadReport | None = None
+        self, number: int, run: int, exit_reason: str, status: int, report: api.LoadReport | None = None
     ) -> None:
-        end = _ENDS.get(word, own.End.DONE)
-        out = self._site.runs.get(number, run)
-        if out is not None and out.call is not None:
-            # Its answer is still on the way; the end tells all that the answer could.
-            call, out.call = out.call, None
-            self._site.runs.forget(number, run)
-            call.drop()
+        end = _ENDS.get(exit_reason, own.End.DONE)
+        run_record = self._site.runs.get(number, run)
+        if run_record is not None and run_record.call is not None:
+            # The reply to the offer has not arrived yet; the end of the run makes it redundant.
+            call, run_record.call = run_record.call, None
+            self._site.runs.remove(number, run)
+            call.cancel_silently()
         else:
-            self._site.runs.forget(number, run)
+            self._site.runs.remove(number, run)
         record = self._site.jobs.live.get(number)
         if record is not None and end is not own.End.DONE:
             record.start_ns = 0
         self._site.tell_owner(own.Ended(number, run, end, status))
-        if out is not None and out.open:
-            out.open = False
+        if run_record is not None and run_record.outcome_pending:
+            run_record.outcome_pending = False
             outcome = api.Outcome.DONE if end in (own.End.DONE, own.End.KILLED) else api.Outcome.LOST
             reason = _END_REASONS.get(end, api.Reason.UNKNOWN)
-            elapsed = self._site.loop.now_ns() - out.sent_ns
+            elapsed_ns = self._site.loop.now_ns() - run_record.sent_ns
             self._site.tell_module(
-                api.AttemptEnded(out.task, out.attempt, out.machine, outcome, reason, True, elapsed, report)
+                api.AttemptEnded(
+                    run_record.task,
+                    run_record.attempt,
+                    run_record.machine,
+                    outcome,
+                    reason,
+                    True,
+                    elapsed_ns,
+                    report,
+                )
             )
 
-    def update(self, request: Request) -> None:
-        """A node's news of a run: it runs now, or what it uses."""
+    def handle_update(self, request: Request) -> None:
+        """Process a node's update of a run: that it is running now, or the resources it uses."""
         record = self._site.jobs.by_id.get(request.job)
-        out = self._site.runs.get(record.number, parse_int(request.get("run_version"))) if record else None
-        if out is None or not out.open or not out.placed:
+        run_record = (
+            self._site.runs.get(record.number, parse_int(request.get("run_version"))) if record else None
+        )
+        if run_record is None or not run_record.outcome_pending or not run_record.placed:
             return
         for key, topic in (
             ("job_state", api.Topic.RUNNING), ("resources_used.ncpus", api.Topic.CORES_USED),
@@ -136,11 +151,13 @@
         ):  # fmt: skip
             if request.get(key):
                 level = 0.0 if topic is api.Topic.RUNNING else parse_float(request.get(key)) or 0.0
-                self._site.tell_module(api.TaskNote(out.task, out.attempt, out.machine, topic, level))
+                self._site.tell_module(
+                    api.TaskNote(run_record.task, run_record.attempt, run_record.machine, topic, level)
+                )
 
 
 def parse_int(text: str) -> int:
-    """A whole number that a node sent; 0 where it is none."""
+    """Parse an integer sent by a node; return 0 if it is invalid."""
     try:
         return int(text)
     except ValueError:
@@ -148,7 +165,7 @@
 
 
 def parse_float(text: str) -> float | None:
-    """A figure that a node sent; None where it is none."""
+    """Parse a number sent by a node; return None if it is invalid."""
     try:
         return float(text)
     except ValueError:
--- a/ladderhub/server/runs.py
+++ b/ladderhub/server/runs.py
@@ -1,4 +1,4 @@
-"""What is out: tasks that the module was given, and runs that may be alive on nodes.  State only."""
+"""Tasks passed to the decision module, and runs that may be alive on nodes.  Holds state only."""
 
 from __future__ import annotations
 
@@ -6,59 +6,69 @@
 from ladderhub.server.nodelinks import OfferCall
 
 
-class OutRun:
-    """A run that is out: the module's task and attempt it stands for, until the module was told its end."""
+class RunRecord:
+    """A run that was offered to a node, and the task and attempt of the decision module it belongs to.
 
-    __slots__ = ("attempt", "call", "machine", "open", "placed", "revision", "sent_ns", "task")
+    `outcome_pending`: the decision module does not know the attempt's outcome yet.  `placed`: the node
+    accepted the run."""
+
+    __slots__ = ("attempt", "call", "machine", "outcome_pending", "placed", "revision", "sent_ns", "task")
 
     def __init__(self, task: int, attempt: int, machine: str, sent_ns: int) -> None:
         self.task, self.attempt, self.machine, self.sent_ns = task, attempt, machine, sent_ns
         self.call: OfferCall | None = None
-        self.open, self.placed = True, False
-        self.revision = 0  # of the policy by which it was sent
+        self.outcome_pending, self.placed = True, False
+        self.revision = 0  # of the policy under which it was sent
 
 
-class TaskOut:
-    """A task that the module was given: one ask of a job."""
+class TaskRecord:
+    """A task of the decision module: one placement request of a job."""
 
-    __slots__ = ("ask", "record", "sent", "until_ns")
+    __slots__ = ("attempts_sent", "deadline_ns", "record", "request_id")
 
-    def __init__(self, record: JobRecord, ask: int, until_ns: int) -> None:
-        self.record, self.ask, self.until_ns, self.sent = record, ask, until_ns, 0
+    def __init__(self, record: JobRecord, request_id: int, deadline_ns: int) -> None:
+        self.record, self.request_id, self.deadline_ns, self.attempts_sent = (
+            record,
+            request_id,
+            deadline_ns,
+            0,
+        )
 
 
 class RunTable:
-    """All tasks by the module's number, all runs by job number and run."""
+    """All tasks by task number, and all runs by job number and run number."""
 
     def __init__(self) -> None:
-        self.tasks: dict[int, TaskOut] = {}
+        self.tasks: dict[int, TaskRecord] = {}
         self._next_task = 1
-        self._runs: dict[int, dict[int, OutRun]] = {}
+        self._runs: dict[int, dict[int, RunRecord]] = {}
 
-    def new_task(self, record: JobRecord, ask: int, until_ns: int) -> int:
+    def add_task(self, record: JobRecord, request_id: int, deadline_ns: int) -> int:
         task = self._next_task
         self._next_task += 1
-        self.tasks[task] = TaskOut(record, ask, until_ns)
+        self.tasks[task] = TaskRecord(record, request_id, deadline_ns)
         record.task = task
         return task
 
-    def add(self, number: int, run: int, out: OutRun) -> None:
-        self._runs.setdefault(number, {})[run] = out
+    def add(self, job_number: int, run: int, run_record: RunRecord) -> None:
+        self._runs.setdefault(job_number, {})[run] = run_record
 
-    def get(self, number: int, run: int) -> OutRun | None:
-        return self._runs.get(number, {}).get(run)
+    def get(self, job_number: int, run: int) -> RunRecord | None:
+        return self._runs.get(job_number, {}).get(run)
 
-    def of_task(self, task: int) -> list[OutRun]:
-        asked = self.tasks.get(task)
-        runs = self._runs.get(asked.record.number, {}) if asked is not None else {}
-        return [out for out in runs.values() if out.task == task]
+    def get_task_runs(self, task: int) -> list[RunRecord]:
+        task_record = self.tasks.get(task)
+        runs = self._runs.get(task_record.record.number, {}) if task_record is not None else {}
+        return [run_record for run_record in runs.values() if run_record.task == task]
 
-    def forget(self, number: int, run: int) -> None:
-        runs = self._runs.get(number, {})
+    def remove(self, job_number: int, run: int) -> None:
+        runs = self._runs.get(job_number, {})
         runs.pop(run, None)
         if not runs:
-            self._runs.pop(number, None)
+            self._runs.pop(job_number, None)
 
-    def placed_at(self, number: int) -> list[str]:
-        """The nodes that hold a run of the job, in the order in which they were asked."""
-        return [out.machine for out in self._runs.get(number, {}).values() if out.placed]
+    def get_machines(self, job_number: int) -> list[str]:
+        """Return the nodes that accepted a run of the job, in the order of the offers."""
+        return [
+            run_record.machine for run_record in self._runs.get(job_number, {}).values() if run_record.placed
+        ]
--- a/ladderhub/server/status.py
+++ b/ladderhub/server/status.py
@@ -1,4 +1,4 @@
-"""Requests that only look: Status Job, Select Jobs, Status Queue, Status Server, Status Node."""
+"""Read-only requests: Status Job, Select Jobs, Status Queue, Status Server, Status Node."""
 
 from __future__ import annotations
 
@@ -9,12 +9,17 @@
 from ladderhub.pbs.connection import ServerConnection
 from ladderhub.pbs.resources import ResourceError, parse_size, parse_time
 from ladderhub.server.door import Answer, Serve
-from ladderhub.server.jobs import PLAIN, JobRecord, row_of, short_row
+from ladderhub.server.jobs import SUMMARY_ATTRIBUTES, JobRecord, build_row, build_summary_row
 from ladderhub.server.nodetracker import NodeTracker
 from ladderhub.server.site import Site
 
-ROWS_AT_ONCE = 50
-SHORT = PLAIN | {"Resource_List", "resources_used", "Account_Name", "Priority"}
+ROWS_PER_CHUNK = 50
+SUMMARY_QUERY_ATTRIBUTES = SUMMARY_ATTRIBUTES | {
+    "Resource_List",
+    "resources_used",
+    "Account_Name",
+    "Priority",
+}
 
 
 class StatusRequests:
@@ -25,31 +30,31 @@
 
     def serves(self) -> dict[int, Serve]:
         return {
-            n.STATUS_JOB: self.status_job, n.SELECT_JOBS: self.select, n.STATUS_QUEUE: self.status_queue,
+            n.STATUS_JOB: self.status_job, n.SELECT_JOBS: self.select_jobs, n.STATUS_QUEUE: self.status_queue,
             n.STATUS_SERVER: self.status_server, n.STATUS_NODE: self.status_node,
         }  # fmt: skip
 
-    def _rows(self, records: list[JobRecord], attrs: list[Attr]) -> Reply | Iterator[bytes]:
+    def _build_reply(self, records: list[JobRecord], attrs: list[Attr]) -> Reply | Iterator[bytes]:
         names, server = self._site.settings.queues.all, self._site.name
         wanted = frozenset(attr.name for attr in attrs)
-        known = wanted and wanted <= SHORT
+        summary_suffices = wanted and wanted <= SUMMARY_QUERY_ATTRIBUTES
 
         def rows() -> Iterator[Row]:
             for record in records:
-                if known:
-                    yield short_row(record, names[record.queue], wanted)
+                if summary_suffices:
+                    yield build_summary_row(record, names[record.queue], wanted)
                     continue
-                row = row_of(record, names[record.queue], server)
+                row = build_row(record, names[record.queue], server)
                 if wanted:
                     row.attrs = [attr for attr in row.attrs if attr.name in wanted]
                 yield row
 
-        if len(records) > ROWS_AT_ONCE:
-            return encode_rows(len(records), rows(), ROWS_AT_ONCE)
+        if len(records) > ROWS_PER_CHUNK:
+            return encode_rows(len(records), rows(), ROWS_PER_CHUNK)
         return Reply(0, n.R_STATUS, rows=list(rows()))
 
     def status_job(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
-        """One job, those of a queue, or all; finished ones too with the extension `x`."""
+        """Report one job, the jobs of a queue, or all; finished ones only with the extension `x`."""
         jobs, name = self._site.jobs, request.job
         if not name or name.startswith("@") or name[0].isalpha():
             queue = name.partition("@")[0]
@@ -58,9 +63,9 @@
                 return
             records = list(jobs.by_id.values() if "x" in request.extension else jobs.live.values())
             if queue:
-                at = self._site.settings.queues.index(queue)
-                records = [record for record in records if record.queue == at]
-            answer(self._rows(records, request.attrs))
+                queue_index = self._site.settings.queues.index(queue)
+                records = [record for record in records if record.queue == queue_index]
+            answer(self._build_reply(records, request.attrs))
             return
         record = self._site.jobs.find(name)
         if record is None:
@@ -68,17 +73,19 @@
         elif record.state == "F" and "x" not in request.extension:
             answer(refusal(n.BAD_STATE, f"Job has finished {record.id}, use -x or -H to obtain history"))
         else:
-            answer(self._rows([record], request.attrs))
+            answer(self._build_reply([record], request.attrs))
 
-    def select(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
+    def select_jobs(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
         records = self._site.jobs.by_id if "x" in request.extension else None
-        pool = list(records.values()) if records is not None else list(self._site.jobs.live.values())
+        candidates = list(records.values()) if records is not None else list(self._site.jobs.live.values())
         try:
-            chosen = [record for record in pool if all(self._matches(record, attr) for attr in request.attrs)]
+            selected = [
+                record for record in candidates if all(self._matches(record, attr) for attr in request.attrs)
+            ]
         except ResourceError as fault:
             answer(refusal(fault.code, str(fault)))
             return
-        answer(Reply(0, n.R_SELECT, jobs=[record.id for record in chosen]))
+        answer(Reply(0, n.R_SELECT, jobs=[record.id for record in selected]))
 
     def _matches(self, record: JobRecord, attr: Attr) -> bool:
         if attr.name == "job_state":
@@ -99,8 +106,8 @@
         if attr.name == "Resource_List" and attr.resource in ("mem", "ncpus", "walltime"):
             if not own_value and attr.resource == "walltime":
                 return False
-            mine, theirs = _measures(attr.resource, own_value, attr.value, record)
-            return _ordered(mine > theirs, mine < theirs, attr.op)
+            value, operand = _parse_quantities(attr.resource, own_value, attr.value, record)
+            return _satisfies(value > operand, value < operand, attr.op)
         return _compare(own_value, attr.value, attr.op)
 
     def status_queue(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
@@ -111,15 +118,15 @@
             return
         rows = []
         for name in [wanted] if wanted else queues.all:
-            at = queues.index(name)
-            queue, is_open = site.settings.queue_at[at], queues.is_open(name)
-            records = [record for record in site.jobs.live.values() if record.queue == at]
+            queue_index = queues.index(name)
+            queue, is_open = site.settings.queue_at[queue_index], queues.is_open(name)
+            records = [record for record in site.jobs.live.values() if record.queue == queue_index]
             if not (wanted or is_open or records):
-                continue  # it was removed, and has finished what it had
+                continue  # a removed queue without jobs
             rows.append(
                 Row(n.OBJ_QUEUE, name, [
                     Attr("queue_type", "Execution"), Attr("total_jobs", str(len(records))),
-                    Attr("state_count", _counts(records)), Attr("Priority", str(queue.priority)),
+                    Attr("state_count", _format_state_counts(records)), Attr("Priority", str(queue.priority)),
                     Attr("enabled", "True" if is_open and not site.stopping else "False"),
                     Attr("started", "True"),
                     Attr("effect", queue.effect), Attr("limit", queue.limit),
@@ -133,7 +140,8 @@
         state = "Terminating" if site.stopping else "Active"
         row = Row(n.OBJ_SERVER, site.name, [
             Attr("server_state", state), Attr("total_jobs", str(len(records))),
-            Attr("state_count", _counts(records)), Attr("default_queue", site.settings.default_queue),
+            Attr("state_count", _format_state_counts(records)),
+            Attr("default_queue", site.settings.default_queue),
             Attr("nodes", str(len(listed.entries))), Attr("list_version", str(listed.version)),
             Attr("owed", str(site.owner.count_unanswered())),
             *(attr for rows in site.status_rows for attr in rows()),
@@ -147,15 +155,15 @@
             return
         jobs: dict[str, list[str]] = {}
         for record in site.jobs.live.values():
-            jobs.setdefault(next(iter(site.runs.placed_at(record.number)), ""), []).append(record.id)
+            jobs.setdefault(next(iter(site.runs.get_machines(record.number)), ""), []).append(record.id)
         rows = []
         for name, entry in sorted(self._node_tracker.node_list.entries.items()):
             if request.name in ("", name):
-                drains = entry.stage == "draining" or name in self._node_tracker.offline
+                is_offline = entry.stage == "draining" or name in self._node_tracker.offline
                 kind = site.settings.file.kinds.get(entry.kind)
                 rows.append(
                     Row(n.OBJ_NODE, name, [
-                        Attr("state", "offline" if drains else "free"), Attr("Mom", entry.address),
+                        Attr("state", "offline" if is_offline else "free"), Attr("Mom", entry.address),
                         Attr("ntype", "PBS"), Attr("rack", entry.rack), Attr("zone", entry.zone),
                         Attr("kind", entry.kind), Attr("jobs", ", ".join(jobs.get(name, []))),
                         Attr("resources_available", f"{kind.cores:g}" if kind else "0", "ncpus"),
@@ -167,32 +175,32 @@
         answer(Reply(0, n.R_STATUS, rows=rows))
 
 
-def _compare(mine: str, theirs: str, op: int) -> bool:
+def _compare(value: str, operand: str, op: int) -> bool:
     if op in (n.OP_SET, n.OP_EQ):
-        return mine == theirs
+        return value == operand
     if op == n.OP_NE:
-        return mine != theirs
-    return _ordered(mine > theirs, mine < theirs, op)
+        return value != operand
+    return _satisfies(value > operand, value < operand, op)
 
 
-def _ordered(above: bool, below: bool, op: int) -> bool:
-    """What an operator says of two values of which one is above or below the other."""
+def _satisfies(above: bool, below: bool, op: int) -> bool:
+    """Whether a value that is above, below or equal to its operand satisfies the operator."""
     return {
         n.OP_GE: not below, n.OP_GT: above, n.OP_LE: not above, n.OP_LT: below, n.OP_NE: above or below,
     }.get(op, not above and not below)  # fmt: skip
 
 
-def _measures(name: str, mine: str, theirs: str, record: JobRecord) -> tuple[float, float]:
+def _parse_quantities(name: str, value: str, operand: str, record: JobRecord) -> tuple[float, float]:
     if name == "mem":
-        return record.memory * (1 << 30), float(parse_size(theirs, name))
+        return record.memory * (1 << 30), float(parse_size(operand, name))
     if name == "walltime":
-        return float(parse_time(mine, name)), float(parse_time(theirs, name))
+        return float(parse_time(value, name)), float(parse_time(operand, name))
     try:
-        return record.cores, float(theirs)
+        return record.cores, float(operand)
     except ValueError:
-        raise ResourceError(f"ncpus={theirs}: not a number of cores") from None
+        raise ResourceError(f"ncpus={operand}: not a number of cores") from None
 
 
-def _counts(records: list[JobRecord]) -> str:
+def _format_state_counts(records: list[JobRecord]) -> str:
     words = {"T": "Transit", "Q": "Queued", "H": "Held", "W": "Waiting", "R": "Running", "E": "Exiting"}
     return " ".join(f"{word}:{sum(r.state == letter for r in records)}" for letter, word in words.items())
--- a/ladderhub/server/submitting.py
+++ b/ladderhub/server/submitting.py
@@ -11,19 +11,19 @@
 from ladderhub.server.jobs import JobRecord
 from ladderhub.server.site import Site
 
-_HELD = ("u", "o", "s")
+_HOLD_TYPES = ("u", "o", "s")
 
 
 class SubmissionRequests:
-    """Serves submissions; a job is taken at its Commit and not before."""
+    """Serves submissions; a job is accepted only at its Commit."""
 
     def __init__(self, site: Site, intake: Intake) -> None:
         self._site, self._intake = site, intake
 
     def serves(self) -> dict[int, Serve]:
         return {
-            n.QUEUE_JOB: self.queue_job, n.JOB_SCRIPT: self.job_script, n.READY_TO_COMMIT: self.ready,
-            n.COMMIT: self.commit,
+            n.QUEUE_JOB: self.queue_job, n.JOB_SCRIPT: self.job_script,
+            n.READY_TO_COMMIT: self.ready_to_commit, n.COMMIT: self.commit,
         }  # fmt: skip
 
     def queue_job(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
@@ -35,7 +35,7 @@
             answer(refusal(n.SERVER_BUSY, f"{site.name} holds {len(site.jobs.live)} jobs, as many as it may"))
             return
         name = request.destination.partition("@")[0] or site.settings.default_queue
-        closed = self._closed(name)
+        closed = self._check_queue_open(name)
         if closed is not None:
             answer(closed)
             return
@@ -43,27 +43,27 @@
         if refused is not None:
             answer(refused)
             return
-        refused = self._refused(name, request)
+        refused = self._check_placeable(name, request)
         if refused is not None:
             answer(refused)
             return
         job = f"{self._intake.numbers.allocate()}.{site.name}"
-        request.destination = name  # as answered, also where another queue is the default by its Commit
+        request.destination = name  # the answered queue stays, even if the default changes before Commit
         connection.draft = Draft(job, request)
         answer(Reply(0, n.R_QUEUE, job=job))
 
-    def _refused(self, name: str, request: Request) -> Reply | None:
-        """The refusal of a job that could never be placed."""
+    def _check_placeable(self, name: str, request: Request) -> Reply | None:
+        """Return the refusal of a job that can never be placed, None for any other."""
         probe = JobRecord(0, "", self._site.settings.queues.index(name))
         try:
             self._intake.read_attributes(probe, request.attrs)
         except ResourceError as fault:
             return refusal(fault.code, str(fault))
-        never = self._intake.explain_unplaceable(probe)
-        return refusal(n.BAD_RESOURCE_VALUE, never) if never else None
+        unplaceable = self._intake.explain_unplaceable(probe)
+        return refusal(n.BAD_RESOURCE_VALUE, unplaceable) if unplaceable else None
 
-    def _closed(self, name: str) -> Reply | None:
-        """The refusal of a queue that takes no jobs."""
+    def _check_queue_open(self, name: str) -> Reply | None:
+        """Return the refusal of a queue that is unknown or accepts no jobs, None for any other."""
         queues = self._site.settings.queues
         if queues.is_open(name):
             return None
@@ -77,14 +77,14 @@
         draft = connection.draft
         assert draft is not None
         if len(draft.script) + len(request.data) > n.SCRIPT_MOST:
-            # A Commit that is on its way behind it must not take half a script.
+            # A Commit that is already on its way must not submit half a script.
             connection.drop_draft()
             answer(refusal(n.BAD_SCRIPT, f"the script is longer than {n.SCRIPT_MOST} bytes"))
             return
         draft.script += request.data
         answer(Reply())
 
-    def ready(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
+    def ready_to_commit(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
         answer(Reply(0, n.R_READY, job=request.job))
 
     def commit(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
@@ -98,7 +98,7 @@
             return
         # The settings may have changed since Queue Job was answered.
         name = draft.request.destination
-        refused = self._closed(name) or self._refused(name, draft.request)
+        refused = self._check_queue_open(name) or self._check_placeable(name, draft.request)
         if refused is not None:
             connection.drop_draft()
             answer(refused)
@@ -108,4 +108,6 @@
         record.owner = record.owner or draft.request.user
         record.script = bytes(draft.script)
         answer(Reply(0, n.R_COMMIT, job=record.id))
-        self._intake.accept(record, held=any(letter in draft.request.get("Hold_Types") for letter in _HELD))
+        self._intake.accept(
+            record, held=any(letter in draft.request.get("Hold_Types") for letter in _HOLD_TYPES)
+        )
--- a/tests/server/test_node_replies.py
+++ b/tests/server/test_node_replies.py
@@ -11,8 +11,8 @@
 from ladderhub.loop import Loop, ManualClock
 from ladderhub.pbs import names as n
 from ladderhub.pbs.batch import Reply, Request, encode_reply
-from ladderhub.server.nodelinks import NodeLinks, Question
-from ladderhub.server.offer import Result
+from ladderhub.server.nodelinks import NodeLinks, RequestCall
+from ladderhub.server.offer import OfferResult
 from ladderhub.usage.traffic import TrafficCount
 
 S = 1_000_000_000
@@ -25,7 +25,7 @@
         self.loop = Loop(ManualClock())
         self._server = socket.create_server(("127.0.0.1", 0))
         self.links = NodeLinks(self.loop, S, TrafficCount())
-        self.links.place("n1", self._server.getsockname())
+        self.links.set_address("n1", self._server.getsockname())
 
     def say(self, conn: socket.socket, reply: Reply) -> None:
         conn.sendall(encode_reply(reply))
@@ -63,17 +63,17 @@
 
 def test_a_reply_that_lies_unread_as_its_time_runs_out_is_the_reply(node: Node) -> None:
     replies: list[Reply | None] = []
-    question = Question(node.links, "n1", Request(n.STATUS_JOB, "u", "1.n0"), S, replies.append)
+    question = RequestCall(node.links, "n1", Request(n.STATUS_JOB, "u", "1.n0"), S, replies.append)
     with node.accept() as conn:
         node.say(conn, Reply(0))
-        question.time_over()
+        question.on_timeout()
     assert [None if reply is None else reply.code for reply in replies] == [0]
 
 
 def test_a_refusal_that_lies_unread_as_the_offer_s_time_runs_out_is_the_outcome(node: Node) -> None:
-    results: list[Result] = []
-    call = node.links.offer("n1", Request(n.QUEUE_JOB, "u", "1.n0"), b"", S, results.append)
+    results: list[OfferResult] = []
+    call = node.links.send_offer("n1", Request(n.QUEUE_JOB, "u", "1.n0"), b"", S, results.append)
     with node.accept() as conn:
         node.say(conn, Reply(15001, n.R_TEXT, text="CORES no room"))
-        call.time_over()
+        call.on_timeout()
     assert [result.outcome for result in results] == [Outcome.REFUSED]
