--- a/ladderhub/server/jobrequests.py
+++ b/ladderhub/server/jobrequests.py
@@ -66,8 +66,8 @@
             answer(record)
             return
         if request.extension:
-            # In OpenPBS a delay before the kill, or `force`, which removes the job without the node's
-            # confirmation.
+            # In OpenPBS this is a delay before the kill, or `force`, which removes the job without the
+            # confirmation of its node.
             answer(
                 refusal(
                     n.INVALID_REQUEST, f"-W {request.extension}: not served; a job ends by its node's word"
--- a/ladderhub/server/nodelinks.py
+++ b/ladderhub/server/nodelinks.py
@@ -20,8 +20,8 @@
 class NodeLinks:
     """All connections of one scheduler to its nodes, and the nodes' addresses."""
 
-    def __init__(self, loop: Loop, connect_timeout_ns: int, count: TrafficCount) -> None:
-        self.loop, self.connect_timeout_ns, self.count = loop, connect_timeout_ns, count
+    def __init__(self, loop: Loop, connect_timeout_ns: int, traffic: TrafficCount) -> None:
+        self.loop, self.connect_timeout_ns, self.traffic = loop, connect_timeout_ns, traffic
         self._addresses: dict[str, Address] = {}
         self.connections: set[NodeConnection] = set()
 
@@ -62,16 +62,16 @@
         self._links, self._call = links, call
         self._parser = ReplyParser()
         self._is_detached = False
-        self._count = links.count
+        self._traffic = links.traffic
         self.stream = connect_counted(
-            links.loop, address, self, links.connect_timeout_ns, lambda _: call.on_connected(), self._count
+            links.loop, address, self, links.connect_timeout_ns, lambda _: call.on_connected(), self._traffic
         )
 
     def on_data(self, stream: Stream, data: bytes) -> None:
         self._parser.feed(data)
         try:
             while not self._is_detached and (reply := self._parser.next()) is not None:
-                self._count.messages_in += 1
+                self._traffic.messages_in += 1
                 self._call.on_reply(reply)
         except DisError as fault:
             stream.abort(fault)
@@ -84,7 +84,7 @@
 
     def send(self, *messages: bytes) -> None:
         """Send the messages in one write."""
-        self._count.messages_out += len(messages)
+        self._traffic.messages_out += len(messages)
         self.stream.write(b"".join(messages))
 
     def read_pending(self) -> None:
--- a/ladderhub/server/offer.py
+++ b/ladderhub/server/offer.py
@@ -50,9 +50,8 @@
         if self.state == FINISHED:
             return None
         if reply.code and self.state == SENDING:
-            return self.on_failure(
-                "the node refused the script"
-            )  # Commit was sent already, so the node must be queried
+            # Commit was sent already, so the node must be queried.
+            return self.on_failure("the node refused the script")
         if reply.code:
             refused = self._build_refusal(reply)
             self.state = FINISHED
--- a/tests/hard_cases/__init__.py
+++ b/tests/hard_cases/__init__.py
@@ -1,1 +1,1 @@
-"""Hard cases of the running path, each caused over sockets."""
+"""Faults during the placement of jobs, each caused over real sockets."""
--- a/tests/hard_cases/bed.py
+++ b/tests/hard_cases/bed.py
@@ -1,4 +1,4 @@
-"""What the hard cases share: recordings that are judged, and connections that speak bytes of their own."""
+"""Shared helpers: audits of recordings, and connections that send arbitrary bytes."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 from tests.world import S, World
 
-Make = Callable[..., World]
+WorldFactory = Callable[..., World]
 
 
-def judged(world: World) -> None:
-    """The recording keeps all five rules."""
+def assert_recording_passes(world: World) -> None:
+    """Assert that the world's recording passes all five rules of the auditor."""
     assert world.tap is not None
     world.tap.close()
     verdict = audit(tap.read(world.tap.path), audit_rules(world.settings))
@@ -28,13 +28,13 @@
     assert verdict.checked["no effect twice"]
 
 
-def raw(world: World, *requests: Request, read: bool = True) -> Stream:
-    """A client that writes and may go away without reading."""
-    got: list[bytes] = []
+def send_raw(world: World, *requests: Request, read: bool = True) -> Stream:
+    """Send requests over a new connection and return it; `read`: wait for the first data in reply."""
+    received: list[bytes] = []
 
     class Sink:
         def on_data(self, stream: Stream, data: bytes) -> None:
-            got.append(data)
+            received.append(data)
 
         def on_closed(self, stream: Stream, fault: BaseException | None) -> None:
             return
@@ -43,7 +43,7 @@
     world.until(lambda: stream.connected)
     stream.write(b"".join(map(encode_request, requests)))
     if read:
-        world.until(lambda: got)
+        world.until(lambda: received)
     return stream
 
 
@@ -51,10 +51,10 @@
     return Request(n.QUEUE_JOB, "tester", attrs=attributes("w", "s", 1, 1, 30), destination="billing")
 
 
-def raw_talk(world: World, address: tuple[str, int], sent: bytes) -> list[Reply]:
-    """All replies that come to one write, until the other end closes."""
+def exchange_raw(world: World, address: tuple[str, int], sent: bytes) -> list[Reply]:
+    """Send bytes in one write and return all replies received until the other end closes."""
     replies: list[Reply] = []
-    parser, over = ReplyParser(), []
+    parser, closed = ReplyParser(), []
 
     class Reader:
         def on_data(self, stream: Stream, data: bytes) -> None:
@@ -63,8 +63,8 @@
                 replies.append(reply)
 
         def on_closed(self, stream: Stream, fault: BaseException | None) -> None:
-            over.append(fault)
+            closed.append(fault)
 
     connect(world.loop, address, Reader(), 2 * S, lambda stream: stream.write(sent))
-    world.until(lambda: over)
+    world.until(lambda: closed)
     return replies
--- a/tests/hard_cases/conftest.py
+++ b/tests/hard_cases/conftest.py
@@ -1,4 +1,4 @@
-"""Worlds that are closed, and looked over, at the end of each hard case."""
+"""A fixture that builds worlds, and closes and checks them at the end of each test."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 from tests.world import World
-from tests.hard_cases.bed import Make
+from tests.hard_cases.bed import WorldFactory
 
 
 @pytest.fixture
-def make(tmp_path: Path) -> Iterator[Make]:
+def make_world(tmp_path: Path) -> Iterator[WorldFactory]:
     worlds: list[World] = []
 
     def build(*args: object, **options: object) -> World:
--- a/tests/hard_cases/test_nodes.py
+++ b/tests/hard_cases/test_nodes.py
@@ -11,11 +11,11 @@
 from ladderhub.pbs.batch import Attr, Request
 
 from tests.world import MS, S
-from tests.hard_cases.bed import Make, judged
+from tests.hard_cases.bed import WorldFactory, assert_recording_passes
 
 
-def test_a_node_that_turns_one_tenant_away_wrongly_is_left_for_another(make: Make) -> None:
-    world = make(3)
+def test_a_node_that_wrongly_refuses_one_tenant_is_replaced_by_another(make_world: WorldFactory) -> None:
+    world = make_world(3)
     world.daemon()
     for name in ("node-1", "node-2"):
         world.agents[name].full_for = frozenset({"north"})
@@ -30,9 +30,9 @@
 @pytest.mark.parametrize("fault", ["lose", "cut"])
 @pytest.mark.parametrize("queue", ["billing", "web", "mail"])
 def test_an_accepted_job_whose_answer_is_lost_or_breaks_off_runs_once(
-    make: Make, queue: str, fault: str
+    make_world: WorldFactory, queue: str, fault: str
 ) -> None:
-    world = make(2, record=True, limit="8s")
+    world = make_world(2, record=True, limit="8s")
     world.daemon()
     for agent in world.agents.values():
         setattr(agent, fault, 1.0)
@@ -44,44 +44,47 @@
     world.until(lambda: len(world.live(job)) == 1)
     host = world.row(job).get("exec_host")
     assert world.live(job) == [host.partition("/")[0]]
-    judged(world)
+    assert_recording_passes(world)
 
 
-def test_a_node_that_stalls_with_open_connections_does_not_hold_an_unsafe_job_twice(make: Make) -> None:
-    world = make(2, record=True, warm_ns=400 * MS, limit="10s")
+def test_a_node_that_stalls_with_open_connections_does_not_hold_an_unsafe_job_twice(
+    make_world: WorldFactory,
+) -> None:
+    world = make_world(2, record=True, warm_ns=400 * MS, limit="10s")
     world.daemon()
     job = world.submit("billing")
     world.until(lambda: world.live(job))
     held = world.agents[world.live(job)[0]]
     held.stall(60 * S)
-    world.run_for(3 * S)  # past the module's deadline: the job may run, so it waits and says why
+    # Past the deadline of the decision module: the job may be running, so it waits and shows the reason.
+    world.run_for(3 * S)
     row = world.row(job)
     assert row.get("job_state") == "Q" and held.name in row.get("comment")
     assert world.live(job) == [held.name]
     held.wake()
     world.wait_answer(job, "placed")
     assert world.live(job) == [held.name]
-    judged(world)
+    assert_recording_passes(world)
 
 
-def test_an_unsafe_job_at_a_node_that_stays_silent_fails_in_time(make: Make) -> None:
-    world = make(1, warm_ns=400 * MS, limit="3s")
+def test_an_unsafe_job_at_a_node_that_stays_silent_fails_in_time(make_world: WorldFactory) -> None:
+    world = make_world(1, warm_ns=400 * MS, limit="3s")
     world.daemon()
     job = world.submit("billing")
     world.until(lambda: world.live(job))
     world.agents["node-1"].stall(60 * S)
     row = world.wait_answer(job, "failed")
     assert "may have run at node-1" in row.get("comment")
-    # The run that nobody wants any more is stopped once its node is reached.
+    # The orphaned run is stopped once its node can be reached.
     world.agents["node-1"].wake()
     world.until(lambda: not world.live(job))
     assert world.row(job).get("placement") == "failed"
 
 
-def test_answers_that_come_twice_change_nothing(make: Make) -> None:
-    # Guards against the repeated answer to one step being taken for the answer to the next, or, over a kept
-    # connection, to another job's: a refusal would then prove what is not so.
-    world = make(3, record=True, limit="10s")
+def test_answers_that_come_twice_change_nothing(make_world: WorldFactory) -> None:
+    # Guards against a repeated reply to one step being taken for the reply to the next step or, on a reused
+    # connection, for the reply to another job: a refusal would then be false proof that a job never ran.
+    world = make_world(3, record=True, limit="10s")
     daemon = world.daemon()
     for agent in world.agents.values():
         agent.repeat = 0.4
@@ -93,11 +96,11 @@
     for job in jobs:
         assert world.wait(job, "F").get("placement") == "placed"
     assert daemon.owner.count_unanswered() == 0 and not world.troubles
-    judged(world)
+    assert_recording_passes(world)
 
 
-def test_news_of_an_attempt_long_settled_changes_nothing(make: Make) -> None:
-    world = make(2)
+def test_a_late_report_of_a_finished_attempt_changes_nothing(make_world: WorldFactory) -> None:
+    world = make_world(2)
     daemon = world.daemon()
     job = world.submit("billing")
     row = world.wait(job, "R")
@@ -111,8 +114,8 @@
     assert world.live(job) == [row.get("exec_host").partition("/")[0]]
 
 
-def test_a_crashed_node_loses_its_jobs_and_each_is_placed_again_once(make: Make) -> None:
-    world = make(3, record=True)
+def test_a_crashed_node_loses_its_jobs_and_each_is_placed_again_once(make_world: WorldFactory) -> None:
+    world = make_world(3, record=True)
     world.daemon()
     jobs = [world.submit(queue, service=f"{queue}-{at}") for at, queue in enumerate(["web", "billing"] * 4)]
     for job in jobs:
@@ -122,10 +125,10 @@
     world.until(lambda: world.directory.entries["node-1"].stage == "gone")
     world.run_for(500 * MS)
     unsafe = [job for job in lost if world.row(job).get("queue") == "billing"]
-    assert not any(world.live(job) for job in unsafe)  # nothing proves yet that they do not run
+    assert not any(world.live(job) for job in unsafe)  # nothing proves yet that they stopped
     agent = world.add_node("node-1")
     agent.ready_ns = agent.admission.ready_ns = world.loop.now_ns()
     for job in jobs:
         world.wait(job, "R")
         world.until(partial(lambda each: len(world.live(each)) == 1, job))
-    judged(world)
+    assert_recording_passes(world)
--- a/tests/hard_cases/test_surroundings.py
+++ b/tests/hard_cases/test_surroundings.py
@@ -1,4 +1,4 @@
-"""The scheduler's own surroundings fail, and its own end."""
+"""Failures in the scheduler's environment, faults of the decision module, and the clean stop."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 from ladderhub.pbs.batch import Attr, Reply, Request
 
 from tests.world import MS
-from tests.hard_cases.bed import Make
+from tests.hard_cases.bed import WorldFactory
 
 
-def test_without_descriptors_nothing_is_lost_and_work_goes_on_after(make: Make) -> None:
-    # Guards against an offer whose connection can't even be begun: its end was never told.
-    world = make(2, limit="20s")
+def test_without_descriptors_no_job_is_lost_and_work_continues_afterwards(make_world: WorldFactory) -> None:
+    # Guards against an offer whose connection can't be opened: its outcome was once never reported.
+    world = make_world(2, limit="20s")
     daemon = world.daemon()
     first = world.submit("billing")
     world.wait(first, "R")
     client = BatchClient(world.loop, world.public, "tester")
-    told: list[Reply | None] = []
-    client.status(told.append)
-    world.until(lambda: told)
+    replies: list[Reply | None] = []
+    client.status(replies.append)
+    world.until(lambda: replies)
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     draft = Request(n.QUEUE_JOB, "tester", attrs=attributes("w", "s", 1, 1, 30), destination="billing")
-    client.send(draft, told.append)
-    world.until(lambda: len(told) == 2)
-    reply = told[1]
+    client.send(draft, replies.append)
+    world.until(lambda: len(replies) == 2)
+    reply = replies[1]
     assert reply is not None
     lowest = max(int(name) for name in os.listdir("/proc/self/fd")) + 1
     spare = [os.dup(0) for _ in range(3)]
@@ -39,8 +39,8 @@
         with contextlib.suppress(OSError):
             while True:
                 spare.append(os.dup(0))
-        client.send(Request(n.COMMIT, "tester", reply.job), told.append)
-        world.until(lambda: len(told) == 3)
+        client.send(Request(n.COMMIT, "tester", reply.job), replies.append)
+        world.until(lambda: len(replies) == 3)
         world.run_for(300 * MS)
         assert daemon.jobs.by_id[reply.job].state == "Q" and not daemon.jobs.by_id[reply.job].answer
     finally:
@@ -51,8 +51,8 @@
     client.close()
 
 
-def test_a_scheduler_that_finds_no_directory_goes_by_the_list_it_kept(make: Make) -> None:
-    world = make(2)
+def test_a_scheduler_without_a_directory_uses_its_saved_list(make_world: WorldFactory) -> None:
+    world = make_world(2)
     daemon = world.daemon()
     world.until(lambda: (world.folder / "alpha" / "node-list.json").exists())
     daemon.close()
@@ -61,8 +61,8 @@
     assert world.wait(world.submit("billing"), "R")
 
 
-def test_a_cut_from_the_directory_is_made_good_with_what_was_missed(make: Make) -> None:
-    world = make(3)
+def test_a_lost_directory_connection_is_recovered_with_the_missed_changes(make_world: WorldFactory) -> None:
+    world = make_world(3)
     daemon = world.daemon()
     job = world.submit("web", service="one")
     name = world.wait(job, "R").get("exec_host").partition("/")[0]
@@ -73,8 +73,8 @@
     assert world.wait(job, "R").get("exec_host").partition("/")[0] != name
 
 
-def test_a_fault_in_one_decision_leaves_the_others_and_its_job_is_answered(make: Make) -> None:
-    world = make(2, limit="3s")
+def test_a_fault_in_one_decision_leaves_the_others_and_its_job_is_answered(make_world: WorldFactory) -> None:
+    world = make_world(2, limit="3s")
     daemon = world.daemon()
     handle = daemon.module.handle
 
@@ -91,8 +91,8 @@
     assert daemon.metrics.troubles == 1
 
 
-def test_stopping_settles_every_job_that_was_taken(make: Make) -> None:
-    world = make(1, warm_ns=200 * MS)
+def test_stopping_answers_every_accepted_job(make_world: WorldFactory) -> None:
+    world = make_world(1, warm_ns=200 * MS)
     daemon = world.daemon()
     runs = world.submit("billing")
     world.wait(runs, "R")
@@ -105,12 +105,14 @@
     world.until(lambda: ended)
     answers = {job: daemon.jobs.by_id[job].answer for job in (runs, held, starting)}
     assert answers == {runs: "placed", held: "refused", starting: "placed"}
-    assert world.live(runs) and world.live(starting)  # what was placed runs on
+    assert world.live(runs) and world.live(starting)  # placed jobs keep running
 
 
-def test_a_job_altered_while_it_runs_is_heard_and_a_lost_script_is_not_run_again(make: Make) -> None:
-    # Guards against a change that is acknowledged and shown, and that no decision ever hears of.
-    world = make(2, limit="8s")
+def test_altering_a_running_job_takes_effect_and_a_job_without_script_is_not_rerun(
+    make_world: WorldFactory,
+) -> None:
+    # Guards against a change that is acknowledged and shown, but never passed to the owner module.
+    world = make_world(2, limit="8s")
     daemon = world.daemon()
     jobs = [world.submit("web"), world.submit("web")]
     for job in jobs:
@@ -119,7 +121,7 @@
     def alter(job: str, value: str) -> Reply:
         request = Request(n.MODIFY_JOB, job=job, attrs=[Attr("Rerunable", value)], command=n.CMD_SET)
         request.object_type = n.OBJ_JOB
-        return world.ask(lambda client, told: client.send(request, told))
+        return world.ask(lambda client, done: client.send(request, done))
 
     assert alter(jobs[0], "False").code == 0
     for name in list(world.agents):
@@ -127,7 +129,7 @@
     row = world.wait(jobs[0], "F")
     assert row.get("Exit_status") == "-1" and row.get("placement") == "placed"
     world.wait(jobs[1], "Q")
-    # One that was adopted has no script any more: nothing makes it run again.
+    # An adopted job has lost its script, so it can't be made rerunnable.
     world.add_node("node-1")
     fresh = world.submit("billing")
     world.wait(fresh, "R")
--- a/tests/server/test_node_replies.py
+++ b/tests/server/test_node_replies.py
@@ -1,4 +1,7 @@
-"""Replies of nodes that lie unread as their time runs out, since this process stood still or is behind."""
+"""Replies of nodes that arrived but are unread at their time limit.
+
+This happens if the process was suspended or is behind: the reply counts, not the timeout.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +22,7 @@
 
 
 class Node:
-    """A node that says what a test tells it to."""
+    """A node that sends the replies that a test gives it."""
 
     def __init__(self) -> None:
         self.loop = Loop(ManualClock())
@@ -27,19 +30,19 @@
         self.links = NodeLinks(self.loop, S, TrafficCount())
         self.links.set_address("n1", self._server.getsockname())
 
-    def say(self, conn: socket.socket, reply: Reply) -> None:
+    def send_reply(self, conn: socket.socket, reply: Reply) -> None:
         conn.sendall(encode_reply(reply))
 
     def accept(self) -> socket.socket:
-        """The connection, once its request has come."""
+        """Accept a connection and return it once its request has arrived."""
         conn, _ = self._server.accept()
         conn.settimeout(20)
-        while not self._sent(conn):
+        while not self._has_sent(conn):
             self.loop.turn(1_000_000)
         return conn
 
     @staticmethod
-    def _sent(conn: socket.socket) -> bool:
+    def _has_sent(conn: socket.socket) -> bool:
         conn.setblocking(False)
         try:
             return bool(conn.recv(65536))
@@ -61,19 +64,19 @@
     made.close()
 
 
-def test_a_reply_that_lies_unread_as_its_time_runs_out_is_the_reply(node: Node) -> None:
+def test_an_unread_reply_at_the_time_limit_is_the_reply(node: Node) -> None:
     replies: list[Reply | None] = []
-    question = RequestCall(node.links, "n1", Request(n.STATUS_JOB, "u", "1.n0"), S, replies.append)
+    call = RequestCall(node.links, "n1", Request(n.STATUS_JOB, "u", "1.n0"), S, replies.append)
     with node.accept() as conn:
-        node.say(conn, Reply(0))
-        question.on_timeout()
+        node.send_reply(conn, Reply(0))
+        call.on_timeout()
     assert [None if reply is None else reply.code for reply in replies] == [0]
 
 
-def test_a_refusal_that_lies_unread_as_the_offer_s_time_runs_out_is_the_outcome(node: Node) -> None:
+def test_an_unread_refusal_at_the_offer_s_time_limit_is_the_outcome(node: Node) -> None:
     results: list[OfferResult] = []
     call = node.links.send_offer("n1", Request(n.QUEUE_JOB, "u", "1.n0"), b"", S, results.append)
     with node.accept() as conn:
-        node.say(conn, Reply(15001, n.R_TEXT, text="CORES no room"))
+        node.send_reply(conn, Reply(15001, n.R_TEXT, text="CORES no room"))
         call.on_timeout()
     assert [result.outcome for result in results] == [Outcome.REFUSED]
--- a/tests/test_dialect.py
+++ b/tests/test_dialect.py
@@ -1,4 +1,4 @@
-"""The batch dialect without sockets: DIS, messages in pieces, submission steps, job scripts, resources."""
+"""The batch protocol without sockets: DIS, partial messages, submission steps, job scripts, resources."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 ATTRS = st.lists(st.builds(Attr, TEXT, TEXT, TEXT, st.integers(0, n.OP_LT)), max_size=5)
 
 
-def test_numbers_and_strings_stand_as_published() -> None:
+def test_numbers_and_strings_are_encoded_as_published() -> None:
     assert [number(value) for value in (7, 42, -17, 1234567890)] == [
         b"+7",
         b"2+42",
@@ -37,7 +37,7 @@
 
 
 @given(st.integers(-(10**18), 10**18), st.binary(max_size=60))
-def test_dis_round_trip_and_every_cut_asks_for_more(value: int, data: bytes) -> None:
+def test_dis_round_trip_and_every_truncation_needs_more(value: int, data: bytes) -> None:
     whole = number(value) + string(data)
     reader = Reader(whole, 1000)
     assert (reader.signed(), reader.raw()) == (value, data)
@@ -50,14 +50,14 @@
 
 
 @pytest.mark.parametrize("data", [b"x", b"0+1", b"1+5", b"2+0", b"2+01", b"+x", b"99+1", b"-5"])
-def test_what_is_no_number_is_told_at_once(data: bytes) -> None:
+def test_an_invalid_number_is_reported_at_once(data: bytes) -> None:
     with pytest.raises(DisError):
         Reader(data + b"+" * 30, 10).unsigned()
 
 
 @settings(max_examples=60)
 @given(TEXT, ATTRS, st.binary(max_size=300), st.integers(1, 40))
-def test_requests_come_whole_out_of_any_pieces(text: str, attrs: list[Attr], data: bytes, step: int) -> None:
+def test_requests_are_parsed_from_any_pieces(text: str, attrs: list[Attr], data: bytes, step: int) -> None:
     sent = [
         Request(n.QUEUE_JOB, "u", text, attrs, destination=text, extension=text),
         Request(n.JOB_SCRIPT, "u", text, data=data), Request(n.COMMIT, "u", text),
@@ -78,7 +78,7 @@
 
 @settings(max_examples=60)
 @given(st.lists(st.tuples(TEXT, ATTRS), max_size=6), st.integers(1, 50))
-def test_replies_come_whole_out_of_any_pieces(rows: list[tuple[str, list[Attr]]], step: int) -> None:
+def test_replies_are_parsed_from_any_pieces(rows: list[tuple[str, list[Attr]]], step: int) -> None:
     sent = [
         Reply(0, n.R_STATUS, rows=[Row(n.OBJ_JOB, name, attrs) for name, attrs in rows]),
         Reply(n.UNKNOWN_JOB, n.R_TEXT, text="no such job"), Reply(0, n.R_SELECT, jobs=[name for name,
@@ -94,7 +94,7 @@
     assert b"".join(map(encode_reply, got)) == wire
 
 
-def test_a_submission_takes_its_steps_in_order_and_one_answer_each() -> None:
+def test_a_submission_takes_its_steps_in_order_with_one_answer_each() -> None:
     for (state, kind), after in TRANSITIONS.items():
         connection = ServerConnection()
         connection.state = state
@@ -113,8 +113,7 @@
         connection.answer(first, Reply())
 
 
-# --- job scripts
-# ----------------------------------------------------------------------------------------------
+# --- job scripts ------------------------------------------------------------------------------------------
 
 
 def test_directives_stand_before_the_first_command() -> None:
@@ -125,7 +124,7 @@
     assert directives(b"#X -N a\n", "#X") == [(1, ["-N", "a"])] and directives(b"#PBS -N a\n", "") == []
 
 
-def test_long_directives_are_read_and_too_long_ones_told() -> None:
+def test_long_directives_are_read_and_too_long_ones_are_reported() -> None:
     value = "A=" + "x" * 10_240
     assert directives(f"#PBS -v {value}\n".encode()) == [(1, ["-v", value])]
     with pytest.raises(ScriptError, match="line 1"):
@@ -156,12 +155,12 @@
         ("ncpus", "no value"), ("mem='1gb", "not closed"),
     ],
 )  # fmt: skip
-def test_resources_that_can_not_be_read_are_told_by_name(text: str, words: str) -> None:
+def test_invalid_resources_are_reported_by_name(text: str, words: str) -> None:
     with pytest.raises(ResourceError, match=words):
         wanted(dict(parse_list(text)))
 
 
-def test_what_is_asked_comes_out_of_each_form() -> None:
+def test_each_form_of_a_request_for_resources_is_read() -> None:
     def read(text: str) -> tuple[float | None, int, int, int, int]:
         found = wanted(dict(parse_list(text)))
         return found.cores, found.memory, found.walltime_s, found.mpiprocs, found.ompthreads
@@ -169,7 +168,7 @@
     assert read("ncpus=2,mem=4gb,walltime=1:00:00") == (2.0, 4 << 30, 3600, 0, 0)
     assert read("select=1:ncpus=3:mem=1gb") == (3.0, 1 << 30, 0, 0, 0)
     assert read("nodes=1:ppn=4") == (4.0, 0, 0, 4, 0)
-    # As client libraries write them; one chunk lies on one node, however it is arranged.
+    # As client libraries write them; one chunk is always on one node, whatever its arrangement.
     assert read("select=1:ncpus=1:mpiprocs=1,place=scatter:shared") == (1.0, 0, 0, 1, 0)
     assert read("select=ncpus=8:ompthreads=4:mpiprocs=2,place=pack") == (8.0, 0, 0, 2, 4)
     assert read("service=x,place=free") == (None, 0, 0, 0, 0)
