--- a/ladderhub/server/intake.py
+++ b/ladderhub/server/intake.py
@@ -8,7 +8,7 @@
 from ladderhub.pbs.batch import Attr, Reply, refusal
 from ladderhub.pbs.resources import GIB, wanted
 from ladderhub.server.jobs import JobNumbers, JobRecord
-from ladderhub.server.site import Site
+from ladderhub.server.context import DaemonContext
 
 S = 1_000_000_000
 
@@ -16,9 +16,9 @@
 class Intake:
     """Reads, checks and accepts jobs; `numbers` allocates their identifiers."""
 
-    def __init__(self, site: Site) -> None:
-        self._site = site
-        self.numbers = JobNumbers(site.folder)
+    def __init__(self, context: DaemonContext) -> None:
+        self._context = context
+        self.numbers = JobNumbers(context.folder)
 
     def read_attributes(self, record: JobRecord, attrs: list[Attr]) -> None:
         """Read a job's attributes into its record; raise `ResourceError` if they are invalid."""
@@ -32,18 +32,18 @@
         record.service = get("Resource_List.service") or get("service") or record.name
         record.rerunnable = get("Rerunable", "y").lower() in ("y", "true")
         resources = {attr.resource: attr.value for attr in attrs if attr.name == "Resource_List"}
-        queue = self._site.settings.queue_at[record.queue]
+        queue = self._context.settings.queues_by_index[record.queue]
         wanted_resources = wanted(resources)
         record.walltime_s, record.mpiprocs, record.ompthreads = (
             wanted_resources.walltime_s, wanted_resources.mpiprocs, wanted_resources.ompthreads,
         )  # fmt: skip
         record.cores = queue.default_cpus if wanted_resources.cores is None else wanted_resources.cores
-        memory = self._site.settings.default_memory[record.queue]
+        memory = self._context.settings.default_memory[record.queue]
         record.memory = wanted_resources.memory / GIB if wanted_resources.memory else memory
 
     def find_unsupported(self, attrs: list[Attr]) -> Reply | None:
         """Return the refusal of the first attribute that is not supported, None if all are."""
-        now_s = self._site.loop.now_ns() // S
+        now_s = self._context.loop.now_ns() // S
         for attr in attrs:
             refused = unserved(attr, now_s)
             if refused is not None:
@@ -52,7 +52,7 @@
 
     def explain_unplaceable(self, record: JobRecord, is_accepted: bool = False) -> str:
         """Return why the job can never be placed, "" if it can.  An accepted job keeps a removed account."""
-        module, kind_names = self._site.settings.module, self._site.settings.kinds
+        module, kind_names = self._context.settings.module, self._context.settings.kinds
         klass = module.classes[record.queue]
         kinds = [
             kind for index, kind in enumerate(module.kinds)
@@ -64,7 +64,7 @@
             for kind in kinds
         ):
             return f"no kind of node here holds {record.cores:g} cores and {record.memory:g} GiB"
-        tenants, account = self._site.settings.tenants, record.account
+        tenants, account = self._context.settings.tenants, record.account
         if not tenants.current or not account or tenants.is_open(account):
             return ""
         if not tenants.is_known(account):
@@ -77,20 +77,20 @@
 
     def describe_removal(self) -> str:
         """Return the explanation for a queue or an account that the policy no longer has."""
-        return f"takes no new jobs, the policy (revision {self._site.revision.number}) has it no more"
+        return f"takes no new jobs, the policy (revision {self._context.revision.number}) has it no more"
 
     def accept(
         self, record: JobRecord, held: bool, stop_until_confirmed: bool = False, effect: Effect | None = None
     ) -> None:
         """Accept a committed job.  `effect`: the job's own, if it differs from its queue's."""
-        site = self._site
-        site.metrics.taken += 1
-        record.revision = site.revision.number
-        site.log.info(
-            "taken", job=record.id, queue=site.settings.queues.all[record.queue], owner=record.owner,
+        context = self._context
+        context.metrics.taken += 1
+        record.revision = context.revision.number
+        context.log.info(
+            "taken", job=record.id, queue=context.settings.queues.all[record.queue], owner=record.owner,
             revision=record.revision,
         )  # fmt: skip
         event = own.Submitted(
             record.number, record.queue, record.rerunnable, held, stop_until_confirmed, effect
         )
-        site.tell_owner(event)
+        context.tell_owner(event)
--- a/ladderhub/server/jobrequests.py
+++ b/ladderhub/server/jobrequests.py
@@ -11,10 +11,10 @@
 from ladderhub.pbs.batch import Attr, Reply, Request, refusal
 from ladderhub.pbs.connection import ServerConnection
 from ladderhub.pbs.resources import ResourceError
-from ladderhub.server.door import Answer, Serve
+from ladderhub.server.clientlistener import ReplyCallback, RequestHandler
 from ladderhub.server.intake import Intake
 from ladderhub.server.jobs import JobRecord
-from ladderhub.server.site import Site
+from ladderhub.server.context import DaemonContext
 from ladderhub.server.runcontrol import RunControl
 
 DELETE_REPLY_TIMEOUT_NS = 3_000_000_000
@@ -29,12 +29,12 @@
 class JobRequests:
     """Serves clients' requests on one job, and nodes' reports on one run."""
 
-    def __init__(self, site: Site, intake: Intake, run_control: RunControl) -> None:
-        self._site, self._intake, self._run_control = site, intake, run_control
+    def __init__(self, context: DaemonContext, intake: Intake, run_control: RunControl) -> None:
+        self._context, self._intake, self._run_control = context, intake, run_control
         self._delete_callbacks: dict[int, list[Callable[[], None]]] = {}
-        site.on_finished.append(self._on_job_finished)
+        context.on_finished.append(self._on_job_finished)
 
-    def serves(self) -> dict[int, Serve]:
+    def get_handlers(self) -> dict[int, RequestHandler]:
         return {
             n.DELETE_JOB: self.delete, n.HOLD_JOB: self.hold, n.RELEASE_JOB: self.release,
             n.MODIFY_JOB: self.modify, n.SIGNAL_JOB: self.forward, n.MESSAGE_JOB: self.forward,
@@ -48,18 +48,18 @@
 
     def _find_machine(self, record: JobRecord) -> str:
         """Return the node that runs the job, "" if none does."""
-        return next(iter(self._site.runs.get_machines(record.number)), "")
+        return next(iter(self._context.runs.get_machines(record.number)), "")
 
     def find_live_job(self, request: Request) -> JobRecord | Reply:
         """Return the job that the request names, or a refusal if it is unknown or has finished."""
-        record = self._site.jobs.find(request.job)
+        record = self._context.jobs.find(request.job)
         if record is None:
             return refusal(n.UNKNOWN_JOB, f"Unknown Job Id {request.job}")
         if record.state == "F":
             return refusal(n.BAD_STATE, f"Job has finished {record.id}: {record.comment}")
         return record
 
-    def delete(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
+    def delete(self, connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
         """Delete a job.  The answer waits for the job's end, but at most `DELETE_REPLY_TIMEOUT_NS`."""
         record = self.find_live_job(request)
         if isinstance(record, Reply):
@@ -90,11 +90,11 @@
                 text = f"{found.id}: no word yet from {found.run_machine or 'its node'}; it will be deleted"
                 answer(Reply(0, n.R_TEXT, text=text))
 
-        timer: Timer = self._site.loop.call_later(DELETE_REPLY_TIMEOUT_NS, answer_pending)
+        timer: Timer = self._context.loop.call_later(DELETE_REPLY_TIMEOUT_NS, answer_pending)
         self._delete_callbacks.setdefault(record.number, []).append(answer_finished)
-        self._site.tell_owner(own.Cancelled(record.number))
+        self._context.tell_owner(own.Cancelled(record.number))
 
-    def hold(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
+    def hold(self, connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
         record = self.find_live_job(request)
         if isinstance(record, Reply):
             answer(record)
@@ -102,10 +102,10 @@
             answer(refusal(n.BAD_STATE, f"{record.id} runs; only a job that waits can be held"))
         else:
             self._set_attribute(record, Attr("Hold_Types", request.get("Hold_Types") or "u"))
-            self._site.tell_owner(own.Hold(record.number))
+            self._context.tell_owner(own.Hold(record.number))
             answer(Reply())
 
-    def release(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
+    def release(self, connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
         record = self.find_live_job(request)
         if isinstance(record, Reply):
             answer(record)
@@ -117,13 +117,13 @@
         )
         self._set_attribute(record, Attr("Hold_Types", remaining or "n"))
         if not remaining:
-            self._site.tell_owner(own.Release(record.number))
+            self._context.tell_owner(own.Release(record.number))
         answer(Reply())
 
     def _set_attribute(self, record: JobRecord, attr: Attr) -> None:
         record.values[attr.key()] = Attr(attr.name, attr.value, attr.resource)
 
-    def modify(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
+    def modify(self, connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
         if request.user.startswith(n.NODE_USER):
             self._run_control.handle_update(request)
             answer(Reply())
@@ -145,7 +145,7 @@
             answer(refusal(n.MODIFY_RUNNING, f"{record.id} is being placed or runs"))
             return
         if record.adopted and request.get("Rerunable").lower() in ("y", "true"):
-            text = f"its script went with an earlier life of {self._site.name}; it can't be run again"
+            text = f"its script went with an earlier life of {self._context.name}; it can't be run again"
             answer(refusal(n.BAD_ATTRIBUTE_VALUE, f"{record.id}: {text}"))
             return
         previous_values = dict(record.values)
@@ -161,10 +161,10 @@
             answer(refusal(n.BAD_RESOURCE_VALUE, unplaceable))
             return
         record.rerunnable = record.rerunnable and not record.adopted
-        self._site.tell_owner(own.Altered(record.number, record.rerunnable))
+        self._context.tell_owner(own.Altered(record.number, record.rerunnable))
         answer(Reply())
 
-    def forward(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
+    def forward(self, connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
         """Forward Signal Job and Message Job to the node that runs the job."""
         record = self.find_live_job(request)
         if isinstance(record, Reply):
@@ -180,15 +180,15 @@
                 answer(refusal(n.BAD_STATE, f"{record.id} does not run"))
             return
         request.job = record.id
-        self._site.links.send_request(
+        self._context.links.send_request(
             node, request, FORWARD_TIMEOUT_NS,
             lambda reply: answer(reply or refusal(n.NODE_DOWN, f"{node} does not answer")),
         )  # fmt: skip
 
-    def locate(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
-        record = self._site.jobs.find(request.job)
-        answer(Reply(0, n.R_LOCATE, job=self._site.name) if record else refusal(n.UNKNOWN_JOB))
+    def locate(self, connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
+        record = self._context.jobs.find(request.job)
+        answer(Reply(0, n.R_LOCATE, job=self._context.name) if record else refusal(n.UNKNOWN_JOB))
 
-    def obituary(self, connection: ServerConnection, request: Request, answer: Answer) -> None:
+    def obituary(self, connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
         self._run_control.handle_obituary(request)
         answer(Reply())
--- a/ladderhub/server/jobs.py
+++ b/ladderhub/server/jobs.py
@@ -7,7 +7,7 @@
 
 from ladderhub.pbs import names as n
 from ladderhub.pbs.batch import Attr, Row
-from ladderhub.server.lasting import SpoolError, write_lasting
+from ladderhub.server.spool import SpoolError, write_durably
 
 NUMBERS_PER_BLOCK = 1000
 SUMMARY_ATTRIBUTES = frozenset((
@@ -41,7 +41,7 @@
 
     def _reserve_block(self) -> None:
         reserved_until = self._reserved_until + NUMBERS_PER_BLOCK
-        write_lasting(self._path, str(reserved_until).encode())
+        write_durably(self._path, str(reserved_until).encode())
         self._reserved_until = reserved_until
 
 
--- a/ladderhub/server/nodetracker.py
+++ b/ladderhub/server/nodetracker.py
@@ -12,7 +12,7 @@
 from ladderhub.pbs.batch import Attr, Reply, Request
 from ladderhub.server.intake import Intake
 from ladderhub.server.nodelist import NodeList
-from ladderhub.server.site import Site
+from ladderhub.server.context import DaemonContext
 from ladderhub.server.runcontrol import QUERY_TIMEOUT_NS, RunControl, parse_int
 from ladderhub.usage.processor import Cause
 from ladderhub.usage.traffic import DIRECTORY
@@ -35,13 +35,13 @@
 class NodeTracker:
     """The part of the daemon that follows the directory.  `node_list` holds the latest entries."""
 
-    def __init__(self, site: Site, run_control: RunControl, intake: Intake) -> None:
-        self._site, self._run_control, self._intake = site, run_control, intake
-        traffic = site.traffic.of(DIRECTORY)
+    def __init__(self, context: DaemonContext, run_control: RunControl, intake: Intake) -> None:
+        self._context, self._run_control, self._intake = context, run_control, intake
+        traffic = context.traffic.of(DIRECTORY)
         self.node_list = NodeList(
-            site.loop, site.settings.directory, site.name, site.folder, self._on_list, traffic
+            context.loop, context.settings.directory, context.name, context.folder, self._on_list, traffic
         )
-        site.metrics.gauge("nodes", "Nodes listed", lambda: len(self.node_list.entries))
+        context.metrics.add_gauge("nodes", "Nodes listed", lambda: len(self.node_list.entries))
         self.offline: set[str] = set()
         self._reported_ns: dict[str, int] = {}  # node -> start time for which it reported its runs
         self._gone_nodes: set[str] = set()
@@ -49,21 +49,21 @@
         self._listed_ns: dict[str, int] = {}  # node -> start time in the latest list
         self._queried_ns: dict[str, int] = {}  # node -> start time for which its runs were queried
         self._cells: dict[str, int] = {}
-        zone = site.settings.file.zone
+        zone = context.settings.file.zone
         self._zones: dict[str, int] = {zone: 0} if zone else {}
-        self._open_kinds = set(site.settings.kinds.current)
-        site.on_settings.append(self._on_kinds_changed)
+        self._open_kinds = set(context.settings.kinds.current)
+        context.on_settings_changed.append(self._on_kinds_changed)
 
     # --- part of the daemon ---------------------------------------------------------------------------------
 
     def start(self) -> None:
-        with self._site.processor.section(Cause.LISTS):
+        with self._context.processor.section(Cause.LISTS):
             self.node_list.start()
 
     def stop(self, now: bool) -> None:
         return
 
-    def owes(self) -> int:
+    def count_unsettled(self) -> int:
         return 0
 
     def close(self) -> None:
@@ -79,7 +79,7 @@
             return None
         return {
             name for name, entry in self.node_list.entries.items()
-            if self._site.settings.kinds.is_known(entry.kind)
+            if self._context.settings.kinds.is_known(entry.kind)
             and self._reported_ns.get(name) != entry.ready_ns
         }  # fmt: skip
 
@@ -90,30 +90,30 @@
         known: list[api.MachineEntry] = []
         restarted: list[str] = []
         for entry in entries:
-            if not self._site.settings.kinds.is_known(entry.kind):
-                self._site.log.error("unknown kind of node", node=entry.name, kind=entry.kind)
+            if not self._context.settings.kinds.is_known(entry.kind):
+                self._context.log.error("unknown kind of node", node=entry.name, kind=entry.kind)
                 continue
-            self._site.links.set_address(entry.name, parse_address(entry.address))
+            self._context.links.set_address(entry.name, parse_address(entry.address))
             if 0 < self._listed_ns.get(entry.name, 0) < entry.ready_ns:
                 restarted.append(entry.name)
             self._listed_ns[entry.name] = entry.ready_ns
             known.append(self._build_machine_entry(entry))
-        self._site.tell_module(api.MachineList(kind, version, tuple(known)))
+        self._context.tell_module(api.MachineList(kind, version, tuple(known)))
         self._notify_node_changes(kind, entries, restarted)
         for name in restarted:
-            self._site.tell_owner(own.MachineRestarted(name))
+            self._context.tell_owner(own.MachineRestarted(name))
         gone = {entry.name for entry in entries if entry.stage == "gone"}
         if kind is api.ListKind.FULL:
             gone |= set(self._listed_ns) - {entry.name for entry in entries}
         for name in sorted(gone):
-            self._site.tell_owner(own.MachineGone(name))
+            self._context.tell_owner(own.MachineGone(name))
         for entry in entries:
-            if entry.stage != "gone" and self._site.settings.kinds.is_known(entry.kind):
+            if entry.stage != "gone" and self._context.settings.kinds.is_known(entry.kind):
                 self._query_node(entry.name)
 
     def _on_kinds_changed(self) -> None:
         """Apply changed kinds: nodes of a new kind become known, those of a removed one get no more jobs."""
-        kinds = set(self._site.settings.kinds.current)
+        kinds = set(self._context.settings.kinds.current)
         changed = kinds ^ self._open_kinds
         self._open_kinds = kinds
         entries = [entry for entry in self.node_list.entries.values() if entry.kind in changed]
@@ -130,12 +130,12 @@
         self._gone_nodes = (self._gone_nodes | gone) - listed
         for names, is_present in ((newly_gone | set(restarted), False), (returned, True)):
             for name in sorted(names):
-                for callback in self._site.on_node:
+                for callback in self._context.on_node_changed:
                     callback(name, is_present)
 
     def _build_machine_entry(self, entry: Entry) -> api.MachineEntry:
         stage = _STAGES[entry.stage]
-        kinds = self._site.settings.kinds
+        kinds = self._context.settings.kinds
         if stage is api.Stage.SERVING and (entry.name in self.offline or not kinds.is_open(entry.kind)):
             stage = api.Stage.DRAINING
         return api.MachineEntry(
@@ -154,19 +154,19 @@
         (self.offline.add if offline else self.offline.discard)(name)
         entry = self.node_list.entries[name]
         changed = (self._build_machine_entry(entry),)
-        self._site.tell_module(api.MachineList(api.ListKind.CHANGES, self.node_list.version, changed))
+        self._context.tell_module(api.MachineList(api.ListKind.CHANGES, self.node_list.version, changed))
         state = [Attr("state", "offline" if offline else "free")]
         request = Request(
             n.MANAGER,
-            f"scheduler@{self._site.name}",
+            f"scheduler@{self._context.name}",
             attrs=state,
             command=n.CMD_SET,
             object_type=n.OBJ_NODE,
             name=name,
         )
-        server = self._site.name
+        server = self._context.name
         text = f"{name} did not answer; it gets nothing more from {server}, other schedulers are not told"
-        self._site.links.send_request(
+        self._context.links.send_request(
             name, request, QUERY_TIMEOUT_NS,
             lambda reply: done(reply if reply is not None else Reply(n.NODE_DOWN, n.R_TEXT, text=text)),
         )  # fmt: skip
@@ -176,8 +176,8 @@
         if self._queried_ns.get(name) == self._listed_ns[name]:
             return
         self._queried_ns[name] = self._listed_ns[name]
-        request = Request(n.STATUS_JOB, f"scheduler@{self._site.name}")
-        self._site.links.send_request(
+        request = Request(n.STATUS_JOB, f"scheduler@{self._context.name}")
+        self._context.links.send_request(
             name, request, QUERY_TIMEOUT_NS, lambda reply: self._adopt_runs(name, reply)
         )
 
@@ -185,25 +185,25 @@
         if reply is None:
             self._queried_ns.pop(name, None)
             if name in self.node_list.entries:
-                self._site.loop.call_later(ADOPT_RETRY_NS, self._query_node, name)
+                self._context.loop.call_later(ADOPT_RETRY_NS, self._query_node, name)
             return
         self._reported_ns[name] = self._queried_ns.get(name, 0)
         for row in reply.rows:
             run = parse_int(row.get("run_version"))
-            if row.get("server") != self._site.name or row.name in self._site.jobs.by_id:
+            if row.get("server") != self._context.name or row.name in self._context.jobs.by_id:
                 continue
-            queues = self._site.settings.queues
+            queues = self._context.settings.queues
             if self._run_control.has_reported_end(row.name, run) or not queues.is_known(row.get("queue")):
                 continue
             queue = queues.index(row.get("queue"))
-            record = self._site.jobs.add(row.name, queue, parse_int(row.get("ctime")) * S)
+            record = self._context.jobs.add(row.name, queue, parse_int(row.get("ctime")) * S)
             self._intake.read_attributes(
                 record, [attr for attr in row.attrs if attr.name not in _OFFER_ATTRIBUTES]
             )
-            record.service, record.answer_ns = row.get("service") or record.name, self._site.loop.now_ns()
+            record.service, record.answer_ns = row.get("service") or record.name, self._context.loop.now_ns()
             record.run, record.run_machine, record.answer = run, name, own.Answer.PLACED.value
             record.adopted, record.rerunnable = True, False  # its script was lost with the earlier process
-            record.start_ns = self._site.loop.now_ns()
-            record.revision = self._site.revision.number
-            self._site.log.info("adopted", job=record.id, node=name, run=run)
-            self._site.tell_owner(own.Adopted(record.number, queue, run, name, record.rerunnable))
+            record.start_ns = self._context.loop.now_ns()
+            record.revision = self._context.revision.number
+            self._context.log.info("adopted", job=record.id, node=name, run=run)
+            self._context.tell_owner(own.Adopted(record.number, queue, run, name, record.rerunnable))
--- a/tests/hard_cases/test_replies.py
+++ b/tests/hard_cases/test_replies.py
@@ -23,7 +23,7 @@
     # Commit behind it must not start the job with the first half.
     world = make_world(1)
     agent = world.agents["node-1"]
-    agent.look_ns = (look_ms * MS, look_ms * MS)
+    agent.evaluation_ns = (look_ms * MS, look_ms * MS)
     attrs = [*attributes("w", "s", 1, 1, 30), Attr("run_version", "1")]
     offer = Request(n.QUEUE_JOB, job="1.alpha", attrs=attrs)
     half = Request(n.JOB_SCRIPT, job="1.alpha", data=b"x" * (n.SCRIPT_MOST // 2 + 1))
@@ -51,7 +51,7 @@
 def test_a_withdrawn_offer_is_answered_and_its_repetition_is_processed(make_world: WorldFactory) -> None:
     world = make_world(1)
     agent = world.agents["node-1"]
-    agent.look_ns = (300 * MS, 300 * MS)
+    agent.evaluation_ns = (300 * MS, 300 * MS)
     attrs = [*attributes("w", "s", 1, 1, 30), Attr("run_version", "1")]
     first, second = (BatchClient(world.loop, agent.listener.address, "scheduler@alpha") for _ in "ab")
     replies: list[Reply | None] = []
--- a/tests/hard_cases/test_surroundings.py
+++ b/tests/hard_cases/test_surroundings.py
@@ -66,7 +66,7 @@
     daemon = world.daemon()
     job = world.submit("web", service="one")
     name = world.wait(job, "R").get("exec_host").partition("/")[0]
-    world.directory.cut_watchers()
+    world.directory.disconnect_watchers()
     world.crash(name)
     world.until(lambda: name not in daemon.nodes.entries)
     world.until(lambda: len(world.live(job)) == 1)
@@ -101,7 +101,7 @@
     ended: list[bool] = []
     daemon.on_end = lambda: ended.append(True)
     world.until(lambda: daemon.jobs.by_id[starting].state != "R")
-    daemon.shut()
+    daemon.shut_down()
     world.until(lambda: ended)
     answers = {job: daemon.jobs.by_id[job].answer for job in (runs, held, starting)}
     assert answers == {runs: "placed", held: "refused", starting: "placed"}
