--- a/ladderhub/server/nodetracker.py
+++ b/ladderhub/server/nodetracker.py
@@ -33,7 +33,7 @@
 
 
 class NodeTracker:
-    """The part of the daemon that follows the directory.  `node_list` holds the latest entries."""
+    """The daemon's component that follows the directory.  `node_list` holds the latest entries."""
 
     def __init__(self, context: DaemonContext, run_control: RunControl, intake: Intake) -> None:
         self._context, self._run_control, self._intake = context, run_control, intake
@@ -54,7 +54,7 @@
         self._open_kinds = set(context.settings.kinds.current)
         context.on_settings_changed.append(self._on_kinds_changed)
 
-    # --- part of the daemon ---------------------------------------------------------------------------------
+    # --- component of the daemon ----------------------------------------------------------------------------
 
     def start(self) -> None:
         with self._context.processor.section(Cause.LISTS):
--- a/ladderhub/server/ownerexecutor.py
+++ b/ladderhub/server/ownerexecutor.py
@@ -14,7 +14,7 @@
 
 
 class OwnerExecutor:
-    """Executes the actions of the owner module; as a part of the daemon, it counts jobs without an answer."""
+    """Executes the actions of the owner module; as a component, it counts jobs without an answer."""
 
     def __init__(self, context: DaemonContext, placement: PlacementExecutor, run_control: RunControl) -> None:
         self._context, self._placement, self._run_control = context, placement, run_control
@@ -23,7 +23,7 @@
         context.metrics.add_gauge("jobs_owed", "Jobs without an answer", context.owner.count_unanswered)
         context.metrics.add_gauge("strays", "Unwanted runs not yet stopped", context.owner.count_orphans)
 
-    # --- part of the daemon ---------------------------------------------------------------------------------
+    # --- component of the daemon ----------------------------------------------------------------------------
 
     def start(self) -> None:
         return
