--- a/ladderhub/server/__init__.py
+++ b/ladderhub/server/__init__.py
@@ -10,10 +10,10 @@
     usagemetrics                       processor time and traffic of the process, as metrics
     offer, nodelinks, runs, nodelist   steps of an offer, connections to nodes, open runs, the directory
     context                            state that all modules share, and the `Component` protocol
-    placing, words, owning             execute the decisions of both modules; reports of nodes on runs
+    placing, runcontrol, ownerexecutor    execute the decisions of both modules; reports of nodes on runs
     peers                              membership and leases, if the settings name peers
     revisions                          revisions of the configuration, if some of the peers vote
-    intake, members                    submitted jobs; the node list and adoption of running jobs
+    intake, nodetracker                submitted jobs; the node list and adoption of running jobs
     kept_names                         queues and kinds of an earlier policy, kept over a restart
     clientlistener                     client connections and the table of request handlers
     submitting, jobrequests, status, operatorrequests, policyrequests    the request handlers
--- a/ladderhub/server/members.py
+++ b/ladderhub/server/nodetracker.py
@@ -1,4 +1,4 @@
-"""The nodes: lists as the directory tells them, nodes taken off by hand, and what nodes already run."""
+"""Nodes: lists from the directory, nodes set offline by operators, and adoption of runs found on nodes."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from ladderhub.owner import types as own
 from ladderhub.pbs import names as n
 from ladderhub.pbs.batch import Attr, Reply, Request
-from ladderhub.server.context import DaemonContext
 from ladderhub.server.intake import Intake
 from ladderhub.server.nodelist import NodeList
-from ladderhub.server.words import QUERY_NS, Words, int_of
+from ladderhub.server.context import DaemonContext
+from ladderhub.server.runcontrol import QUERY_TIMEOUT_NS, RunControl, parse_int
 from ladderhub.usage.processor import Cause
 from ladderhub.usage.traffic import DIRECTORY
 
 S = 1_000_000_000
 ADOPT_RETRY_NS = 1 * S
 _STAGES = {"serving": api.Stage.SERVING, "draining": api.Stage.DRAINING, "gone": api.Stage.GONE}
-_OF_THE_OFFER = (
+_OFFER_ATTRIBUTES = (
     "job_state",
     "server",
     "server_address",
@@ -32,33 +32,33 @@
 )
 
 
-class Members:
-    """The part of the daemon that follows the directory.  `list` has the entries as last told."""
+class NodeTracker:
+    """The daemon's component that follows the directory.  `node_list` holds the latest entries."""
 
-    def __init__(self, context: DaemonContext, words: Words, intake: Intake) -> None:
-        self._context, self._words, self._intake = context, words, intake
-        count = context.traffic.of(DIRECTORY)
-        self.list = NodeList(
-            context.loop, context.settings.directory, context.name, context.folder, self._on_list, count
+    def __init__(self, context: DaemonContext, run_control: RunControl, intake: Intake) -> None:
+        self._context, self._run_control, self._intake = context, run_control, intake
+        traffic = context.traffic.of(DIRECTORY)
+        self.node_list = NodeList(
+            context.loop, context.settings.directory, context.name, context.folder, self._on_list, traffic
         )
-        context.metrics.add_gauge("nodes", "Nodes listed", lambda: len(self.list.entries))
+        context.metrics.add_gauge("nodes", "Nodes listed", lambda: len(self.node_list.entries))
         self.offline: set[str] = set()
-        self._heard: dict[str, int] = {}  # node -> start time at which it said what it runs
-        self._gone: set[str] = set()
-        self._whole = False  # a full list came in this life
-        self._ready: dict[str, int] = {}  # node -> start time as last listed
-        self._asked: dict[str, int] = {}  # node -> start time at which it was asked what it runs
+        self._reported_ns: dict[str, int] = {}  # node -> start time for which it reported its runs
+        self._gone_nodes: set[str] = set()
+        self._has_full_list = False  # a full list was received since the start of this process
+        self._listed_ns: dict[str, int] = {}  # node -> start time in the latest list
+        self._queried_ns: dict[str, int] = {}  # node -> start time for which its runs were queried
         self._cells: dict[str, int] = {}
         zone = context.settings.file.zone
         self._zones: dict[str, int] = {zone: 0} if zone else {}
         self._open_kinds = set(context.settings.kinds.current)
-        context.on_settings_changed.append(self._kinds_changed)
+        context.on_settings_changed.append(self._on_kinds_changed)
 
-    # --- as a part ------------------------------------------------------------------------------------------
+    # --- component of the daemon ----------------------------------------------------------------------------
 
     def start(self) -> None:
         with self._context.processor.section(Cause.LISTS):
-            self.list.start()
+            self.node_list.start()
 
     def stop(self, now: bool) -> None:
         return
@@ -67,72 +67,73 @@
         return 0
 
     def close(self) -> None:
-        self.list.close()
+        self.node_list.close()
 
-    def kinds(self) -> set[str]:
-        """Kinds of the nodes that are listed."""
-        return {entry.kind for entry in self.list.entries.values()}
+    def get_listed_kinds(self) -> set[str]:
+        """Return the kinds of all listed nodes."""
+        return {entry.kind for entry in self.node_list.entries.values()}
 
-    def unheard(self) -> set[str] | None:
-        """Nodes that have not said yet what they run; None before the directory has told all nodes."""
-        if not self._whole:
+    def find_unreported_nodes(self) -> set[str] | None:
+        """Return the nodes that have not reported their runs yet; None before the first full list."""
+        if not self._has_full_list:
             return None
         return {
-            name for name, entry in self.list.entries.items()
-            if self._context.settings.kinds.is_known(entry.kind) and self._heard.get(name) != entry.ready_ns
+            name for name, entry in self.node_list.entries.items()
+            if self._context.settings.kinds.is_known(entry.kind)
+            and self._reported_ns.get(name) != entry.ready_ns
         }  # fmt: skip
 
     # --- lists ----------------------------------------------------------------------------------------------
 
     def _on_list(self, kind: api.ListKind, version: int, entries: list[Entry]) -> None:
-        self._whole = self._whole or kind is api.ListKind.FULL
+        self._has_full_list = self._has_full_list or kind is api.ListKind.FULL
         known: list[api.MachineEntry] = []
-        anew: list[str] = []
+        restarted: list[str] = []
         for entry in entries:
             if not self._context.settings.kinds.is_known(entry.kind):
                 self._context.log.error("unknown kind of node", node=entry.name, kind=entry.kind)
                 continue
-            self._context.links.place(entry.name, parse_address(entry.address))
-            if 0 < self._ready.get(entry.name, 0) < entry.ready_ns:
-                anew.append(entry.name)
-            self._ready[entry.name] = entry.ready_ns
-            known.append(self._machine(entry))
+            self._context.links.set_address(entry.name, parse_address(entry.address))
+            if 0 < self._listed_ns.get(entry.name, 0) < entry.ready_ns:
+                restarted.append(entry.name)
+            self._listed_ns[entry.name] = entry.ready_ns
+            known.append(self._build_machine_entry(entry))
         self._context.tell_module(api.MachineList(kind, version, tuple(known)))
-        self._tell_nodes(kind, entries, anew)
-        for name in anew:
+        self._notify_node_changes(kind, entries, restarted)
+        for name in restarted:
             self._context.tell_owner(own.MachineRestarted(name))
         gone = {entry.name for entry in entries if entry.stage == "gone"}
         if kind is api.ListKind.FULL:
-            gone |= set(self._ready) - {entry.name for entry in entries}
+            gone |= set(self._listed_ns) - {entry.name for entry in entries}
         for name in sorted(gone):
             self._context.tell_owner(own.MachineGone(name))
         for entry in entries:
             if entry.stage != "gone" and self._context.settings.kinds.is_known(entry.kind):
-                self._ask_node(entry.name)
+                self._query_node(entry.name)
 
-    def _kinds_changed(self) -> None:
-        """Nodes of a kind that is new are known from now on; those of one that is gone get nothing more."""
+    def _on_kinds_changed(self) -> None:
+        """Apply changed kinds: nodes of a new kind become known, those of a removed one get no more jobs."""
         kinds = set(self._context.settings.kinds.current)
         changed = kinds ^ self._open_kinds
         self._open_kinds = kinds
-        entries = [entry for entry in self.list.entries.values() if entry.kind in changed]
+        entries = [entry for entry in self.node_list.entries.values() if entry.kind in changed]
         if entries:
-            self._on_list(api.ListKind.CHANGES, self.list.version, entries)
+            self._on_list(api.ListKind.CHANGES, self.node_list.version, entries)
 
-    def _tell_nodes(self, kind: api.ListKind, entries: list[Entry], anew: list[str]) -> None:
+    def _notify_node_changes(self, kind: api.ListKind, entries: list[Entry], restarted: list[str]) -> None:
         listed = {entry.name for entry in entries if entry.stage != "gone"}
         gone = {entry.name for entry in entries if entry.stage == "gone"}
         if kind is api.ListKind.FULL:
-            gone |= set(self._ready) - listed
-        fresh = gone - self._gone
-        back = listed & (self._gone | set(anew))
-        self._gone = (self._gone | gone) - listed
-        for names, here in ((fresh | set(anew), False), (back, True)):
+            gone |= set(self._listed_ns) - listed
+        newly_gone = gone - self._gone_nodes
+        returned = listed & (self._gone_nodes | set(restarted))
+        self._gone_nodes = (self._gone_nodes | gone) - listed
+        for names, is_present in ((newly_gone | set(restarted), False), (returned, True)):
             for name in sorted(names):
-                for told in self._context.on_node_changed:
-                    told(name, here)
+                for callback in self._context.on_node_changed:
+                    callback(name, is_present)
 
-    def _machine(self, entry: Entry) -> api.MachineEntry:
+    def _build_machine_entry(self, entry: Entry) -> api.MachineEntry:
         stage = _STAGES[entry.stage]
         kinds = self._context.settings.kinds
         if stage is api.Stage.SERVING and (entry.name in self.offline or not kinds.is_open(entry.kind)):
@@ -149,11 +150,11 @@
         )
 
     def set_offline(self, name: str, offline: bool, done: Callable[[Reply], None]) -> None:
-        """`pbsnodes -o` and `-r`: this scheduler heeds it at once, the node tells the directory."""
+        """Serve `pbsnodes -o` and `-r`: applied here at once; the node reports it to the directory."""
         (self.offline.add if offline else self.offline.discard)(name)
-        entry = self.list.entries[name]
-        changed = (self._machine(entry),)
-        self._context.tell_module(api.MachineList(api.ListKind.CHANGES, self.list.version, changed))
+        entry = self.node_list.entries[name]
+        changed = (self._build_machine_entry(entry),)
+        self._context.tell_module(api.MachineList(api.ListKind.CHANGES, self.node_list.version, changed))
         state = [Attr("state", "offline" if offline else "free")]
         request = Request(
             n.MANAGER,
@@ -163,41 +164,45 @@
             object_type=n.OBJ_NODE,
             name=name,
         )
-        mine = self._context.name
-        text = f"{name} did not answer; it gets nothing more from {mine}, other schedulers are not told"
-        self._context.links.ask(
-            name, request, QUERY_NS,
+        server = self._context.name
+        text = f"{name} did not answer; it gets nothing more from {server}, other schedulers are not told"
+        self._context.links.send_request(
+            name, request, QUERY_TIMEOUT_NS,
             lambda reply: done(reply if reply is not None else Reply(n.NODE_DOWN, n.R_TEXT, text=text)),
         )  # fmt: skip
 
-    def _ask_node(self, name: str) -> None:
-        """Once in each life of a node: what does it run of ours that we do not know?"""
-        if self._asked.get(name) == self._ready[name]:
+    def _query_node(self, name: str) -> None:
+        """Query the runs of a node, once in each of its lives, to adopt unknown runs of this scheduler."""
+        if self._queried_ns.get(name) == self._listed_ns[name]:
             return
-        self._asked[name] = self._ready[name]
+        self._queried_ns[name] = self._listed_ns[name]
         request = Request(n.STATUS_JOB, f"scheduler@{self._context.name}")
-        self._context.links.ask(name, request, QUERY_NS, lambda reply: self._adopt(name, reply))
+        self._context.links.send_request(
+            name, request, QUERY_TIMEOUT_NS, lambda reply: self._adopt_runs(name, reply)
+        )
 
-    def _adopt(self, name: str, reply: Reply | None) -> None:
+    def _adopt_runs(self, name: str, reply: Reply | None) -> None:
         if reply is None:
-            self._asked.pop(name, None)
-            if name in self.list.entries:
-                self._context.loop.call_later(ADOPT_RETRY_NS, self._ask_node, name)
+            self._queried_ns.pop(name, None)
+            if name in self.node_list.entries:
+                self._context.loop.call_later(ADOPT_RETRY_NS, self._query_node, name)
             return
-        self._heard[name] = self._asked.get(name, 0)
+        self._reported_ns[name] = self._queried_ns.get(name, 0)
         for row in reply.rows:
-            run = int_of(row.get("run_version"))
+            run = parse_int(row.get("run_version"))
             if row.get("server") != self._context.name or row.name in self._context.jobs.by_id:
                 continue
             queues = self._context.settings.queues
-            if self._words.ended_before(row.name, run) or not queues.is_known(row.get("queue")):
+            if self._run_control.has_reported_end(row.name, run) or not queues.is_known(row.get("queue")):
                 continue
             queue = queues.index(row.get("queue"))
-            record = self._context.jobs.add(row.name, queue, int_of(row.get("ctime")) * S)
-            self._intake.describe(record, [attr for attr in row.attrs if attr.name not in _OF_THE_OFFER])
+            record = self._context.jobs.add(row.name, queue, parse_int(row.get("ctime")) * S)
+            self._intake.read_attributes(
+                record, [attr for attr in row.attrs if attr.name not in _OFFER_ATTRIBUTES]
+            )
             record.service, record.answer_ns = row.get("service") or record.name, self._context.loop.now_ns()
             record.run, record.run_machine, record.answer = run, name, own.Answer.PLACED.value
-            record.adopted, record.rerunnable = True, False  # its script went with the earlier life
+            record.adopted, record.rerunnable = True, False  # its script was lost with the earlier process
             record.start_ns = self._context.loop.now_ns()
             record.revision = self._context.revision.number
             self._context.log.info("adopted", job=record.id, node=name, run=run)
