--- a/ladderhub/platform/config.py
+++ b/ladderhub/platform/config.py
@@ -15,7 +15,7 @@
 from ladderhub.errors.base import BAD_VALUE, LadderhubError
 from ladderhub.loop import parse_address
 from ladderhub.loop.stream import Address
-from ladderhub.platform.words import Names
+from ladderhub.platform.mapping import NameIndex
 from ladderhub.signalling.journal import Entry, JournalEvent, event_of
 from ladderhub.translate import FieldError, part_of, read_settings
 
@@ -63,7 +63,7 @@
     seed: int
     sockets: int
     settings: api.Settings
-    names: Names
+    names: NameIndex
     known: tuple[JournalEvent, ...]
     pos: int
     connect_ns: int
@@ -95,7 +95,7 @@
     if not listen:
         raise ConfigError("not set", where="PROXY_LISTEN", meant="the address for owners, HOST:PORT,")
     try:
-        settings, names = read_settings(file.settings), Names(file.settings)
+        settings, names = read_settings(file.settings), NameIndex(file.settings)
         limits, prices = part_of(file.settings, "ceilings"), part_of(file.settings, "prices")
     except (FieldError, ValueError, TypeError, AttributeError) as fault:
         raise ConfigError(str(fault), where=f"{path}: settings") from None
--- a/ladderhub/platform/early.py
+++ b/ladderhub/platform/early_ends.py
@@ -6,15 +6,15 @@
 from itertools import islice
 from typing import Generic, TypeVar
 
-from ladderhub.platform.liveness import OVER_NS
+from ladderhub.platform.liveness import RELEASE_DEADLINE_NS
 
-EARLY_MOST = 16_384  # ends kept in all; the oldest go first
+MAX_EARLY_ENDS = 16_384  # ends kept in all; the oldest go first
 
 Key = TypeVar("Key", bound=Hashable)
 Ending = TypeVar("Ending")
 
 
-class Early(Generic[Key, Ending]):
+class EarlyEnds(Generic[Key, Ending]):
     """Ends of tasks that nobody here looks after, while their owners may be told."""
 
     def __init__(self) -> None:
@@ -24,7 +24,7 @@
         """Keep it for as long as an end may still be told."""
         # Two of the oldest may go for each that comes, so that it empties by itself.
         for old, (at_ns, _) in list(islice(self._ends.items(), 2)):
-            if now_ns - at_ns > OVER_NS or len(self._ends) >= EARLY_MOST:
+            if now_ns - at_ns > RELEASE_DEADLINE_NS or len(self._ends) >= MAX_EARLY_ENDS:
                 del self._ends[old]
         self._ends[key] = (now_ns, ending)
 
@@ -34,4 +34,4 @@
         if kept is None:
             return None
         at_ns, ending = kept
-        return ending if now_ns - at_ns < OVER_NS else None
+        return ending if now_ns - at_ns < RELEASE_DEADLINE_NS else None
--- a/ladderhub/platform/link.py
+++ b/ladderhub/platform/link.py
@@ -5,294 +5,294 @@
 import math
 
 from ladderhub.loop.stream import Address, connect
-from ladderhub.platform import carrying
-from ladderhub.platform.conn import Conn, End, Offer, refused
-from ladderhub.platform.cuts import Cuts
-from ladderhub.platform.liveness import TEST_NS, Due, Liveness
-from ladderhub.platform.pool import Pool
+from ladderhub.platform import connection_choice
+from ladderhub.platform.conn import Conn, Offer, TaskEnd, is_refused
+from ladderhub.platform.pending_releases import PendingReleases
+from ladderhub.platform.liveness import PING_INTERVAL_NS, Liveness, LivenessAction
+from ladderhub.platform.pool import ConnectionPool
 from ladderhub.signalling import Cause, Code, Kind, Message, SignalError, State, Step, encode_binary
 from ladderhub.signalling.table import TEST_ASKED
 
-LATE_MOST = 256  # set-ups given up that are remembered for each machine, for an answer that crosses
+MAX_ENDED_ATTEMPTS = 256  # set-ups given up that are remembered for each machine, for an answer that crosses
 NO_ID = "0" * 16
 
 
 class Link:
     """All that goes to one machine."""
 
-    def __init__(self, links: Pool, name: str, address: Address) -> None:
-        self.links, self.name, self.address = links, name, address
-        self.loop, self.report = links.loop, links.report
+    def __init__(self, pool: ConnectionPool, name: str, address: Address) -> None:
+        self.pool, self.name, self.address = pool, name, address
+        self.loop, self.report = pool.loop, pool.report
         self.conns: list[Conn] = []
-        self.standing: dict[str, Offer] = {}
-        self.late: dict[str, None] = {}
-        self.cuts = Cuts()
-        self.life = Liveness(links.loop.now_ns())
-        self.shut = False  # nothing new is written
-        self.gone = False  # not on the list: forgotten once nothing is open
-
-    def heard(self) -> None:
+        self.running: dict[str, Offer] = {}
+        self.ended_attempts: dict[str, None] = {}
+        self.pending_releases = PendingReleases()
+        self.liveness = Liveness(pool.loop.now_ns())
+        self.setups_blocked = False  # nothing new is written
+        self.removed = False  # not on the list: forgotten once nothing is open
+
+    def on_activity(self) -> None:
         """The machine said something: it is there."""
-        self.life.heard(self.loop.now_ns())
+        self.liveness.record_heard(self.loop.now_ns())
 
-    def move(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """It is elsewhere now: nothing new goes over connections to where it was."""
         self.address = address
         for conn in self.conns:
-            conn.clean = False
+            conn.reusable = False
 
     # --- set-ups ------------------------------------------------------------------------------------------
 
     def send(self, offer: Offer) -> None:
         loop = self.loop
-        offer.timer = loop.call_at(offer.until_ns, self._overdue, offer)
+        offer.timer = loop.call_at(offer.until_ns, self._on_timeout, offer)
         now = loop.now_ns()
-        conn = carrying.unused(self.conns, offer, now, self.links.idle_ns)
-        quiet = self.life.quiet_ns(now) > TEST_NS
-        if quiet and (self.standing or self.life.missed):
+        conn = connection_choice.find_idle(self.conns, offer, now, self.pool.idle_timeout_ns)
+        quiet = self.liveness.get_silence_ns(now) > PING_INTERVAL_NS
+        if quiet and (self.running or self.liveness.unresponsive):
             conn = None  # it has not answered a test or a dial: only a new connection tells whether it lives
         if conn is not None and quiet:
             # A test costs the machine less than a new connection, and shows as much before anything has left.
-            conn.proof = loop.call_later(self.links.connect_ns, self._unproven, conn)
-            self._put(conn, Message(Kind.PING, NO_ID, TEST_ASKED))
-        if conn is None and self.links.share and offer.repeatable:
-            conn = carrying.shared(self.conns, offer, heard=not quiet)
-        if conn is None and self.links.make_room():
+            conn.ping_timer = loop.call_later(self.pool.connect_timeout_ns, self._on_ping_timeout, conn)
+            self._send_message(conn, Message(Kind.PING, NO_ID, TEST_ASKED))
+        if conn is None and self.pool.share_connections and offer.repeatable:
+            conn = connection_choice.find_shareable(self.conns, offer, heard=not quiet)
+        if conn is None and self.pool.make_room():
             conn = self.dial("setup")
         if conn is None:
-            conn = carrying.crowded(self.conns, offer)
+            conn = connection_choice.find_least_loaded(self.conns, offer)
         if conn is None:
             self.report.line("machine.no_descriptor", machine=self.name)
-            loop.call_soon(self._unreached, offer)
+            loop.call_soon(self._report_unreached, offer)
             return
         offer.conn = conn
-        conn.open[offer.id] = offer
+        conn.open_offers[offer.id] = offer
         self._write_waiting(conn, offer)
 
-    def _unproven(self, conn: Conn) -> None:
+    def _on_ping_timeout(self, conn: Conn) -> None:
         """No test passed in the time that a new connection would have had to come up."""
-        conn.look()
-        if conn.proof is None:
+        conn.read_pending()
+        if conn.ping_timer is None:
             return
-        conn.proof, self.life.missed = None, True
+        conn.ping_timer, self.liveness.unresponsive = None, True
         if conn.stream is not None:
             conn.stream.abort(TimeoutError("silent"))
 
     def dial(self, why: str) -> Conn:
         self.report.count(f"dial.{why}")
-        self.life.asked(self.loop.now_ns())
+        self.liveness.record_request(self.loop.now_ns())
         conn = Conn(self)
         self.conns.append(conn)
-        self.links.count += 1
+        self.pool.connection_count += 1
         conn.stream = connect(
-            self.loop, self.address, conn, self.links.connect_ns, lambda _: self._connected(conn)
+            self.loop, self.address, conn, self.pool.connect_timeout_ns, lambda _: self._on_connected(conn)
         )
         conn.stream.on_drained = lambda: self._write_waiting(conn)
         return conn
 
-    def _connected(self, conn: Conn) -> None:
-        self.links.came_up(conn)
-        self._say_cuts(conn)
-        if self.standing:
+    def _on_connected(self, conn: Conn) -> None:
+        self.pool.add_connected(conn)
+        self._send_releases(conn)
+        if self.running:
             # A machine that was dialled again may have nothing to say, and would count as silent.
-            self._put(conn, Message(Kind.PING, NO_ID, TEST_ASKED))
+            self._send_message(conn, Message(Kind.PING, NO_ID, TEST_ASKED))
         self._write_waiting(conn)
 
     def _write_waiting(self, conn: Conn, only: Offer | None = None) -> None:
         """Write what may leave now; with `only`, no other set-up than this."""
-        for offer in [only] if only is not None else list(conn.open.values()):
-            if not conn.writable():
+        for offer in [only] if only is not None else list(conn.open_offers.values()):
+            if not conn.is_writable():
                 return
             # What is heard when it is asked for may end it, or others, or write them.
-            waits = conn.open.get(offer.id) is offer and not offer.written
-            if waits and self.links.listener.may_leave(offer) and conn.writable():
+            waits = conn.open_offers.get(offer.id) is offer and not offer.written
+            if waits and self.pool.listener.confirm_send(offer) and conn.is_writable():
                 self._write(conn, offer)
 
     def _write(self, conn: Conn, offer: Offer) -> None:
-        if conn.open.get(offer.id) is not offer or offer.written:
+        if conn.open_offers.get(offer.id) is not offer or offer.written:
             return
         left_ms = (offer.until_ns - self.loop.now_ns()) // 1_000_000
-        if self.shut or left_ms <= 0:
-            self._end(offer)
-            self.links.listener.on_unsent(offer)
+        if self.setups_blocked or left_ms <= 0:
+            self._stop_waiting(offer)
+            self.pool.listener.on_unsent(offer)
             return
         offer.setup.values[Code.WAIT] = str(left_ms)
         offer.leg.step(Step.SETUP)
         offer.written = True
-        conn.wrote(offer)
-        self._put(conn, offer.setup)
+        conn.record_sent(offer)
+        self._send_message(conn, offer.setup)
 
-    def _put(self, conn: Conn, message: Message) -> None:
+    def _send_message(self, conn: Conn, message: Message) -> None:
         assert conn.stream is not None
-        conn.used_ns = self.loop.now_ns()
+        conn.last_used_ns = self.loop.now_ns()
         conn.stream.write(encode_binary(message))
 
-    def _end(self, offer: Offer) -> None:
+    def _stop_waiting(self, offer: Offer) -> None:
         """The set-up has no answer to come; its connection may be used for others or closed."""
         if offer.timer is not None:
             offer.timer.cancel()
         conn = offer.conn
-        if conn is not None and conn.open.get(offer.id) is offer:
-            del conn.open[offer.id]
+        if conn is not None and conn.open_offers.get(offer.id) is offer:
+            del conn.open_offers[offer.id]
 
-    def _unreached(self, offer: Offer) -> None:
+    def _report_unreached(self, offer: Offer) -> None:
         if offer.leg.state is State.IDLE and offer.timer is not None and offer.timer.call is not None:
-            self._end(offer)
-            self.links.listener.on_unreached(offer)
+            self._stop_waiting(offer)
+            self.pool.listener.on_unreached(offer)
 
-    def _overdue(self, offer: Offer) -> None:
+    def _on_timeout(self, offer: Offer) -> None:
         conn = offer.conn
         if conn is not None:
-            conn.look()
-            if conn.open.get(offer.id) is not offer:
+            conn.read_pending()
+            if conn.open_offers.get(offer.id) is not offer:
                 return
         written = offer.written
         self.give_up(offer)
-        (self.links.listener.on_overdue if written else self.links.listener.on_unsent)(offer)
+        (self.pool.listener.on_overdue if written else self.pool.listener.on_unsent)(offer)
 
     def give_up(self, offer: Offer) -> None:
         """Nothing more is wanted of a set-up without an answer; what still comes of it is put right here."""
-        self._end(offer)
+        self._stop_waiting(offer)
         if not offer.written:
             return
-        if offer.stood:  # its answer crossed the giving up
+        if offer.started:  # its answer crossed the giving up
             self.release(offer, Cause.NORMAL)
             return
         offer.leg.step(Step.RELEASE)
-        self._remember_late(offer)
+        self._remember_ended(offer)
         if offer.conn is not None:
-            offer.conn.clean = False
-            if offer.conn.live():
-                self._put(offer.conn, Message(Kind.RELEASE, offer.id, Cause.NORMAL))
+            offer.conn.reusable = False
+            if offer.conn.is_live():
+                self._send_message(offer.conn, Message(Kind.RELEASE, offer.id, Cause.NORMAL))
 
-    def _remember_late(self, offer: Offer) -> None:
+    def _remember_ended(self, offer: Offer) -> None:
         """What the machine still says of this attempt must not be taken for a word on a later one."""
-        self.late[offer.id] = None
-        if len(self.late) > LATE_MOST:
-            del self.late[next(iter(self.late))]
+        self.ended_attempts[offer.id] = None
+        if len(self.ended_attempts) > MAX_ENDED_ATTEMPTS:
+            del self.ended_attempts[next(iter(self.ended_attempts))]
 
-    def unsend(self) -> None:
+    def cancel_unsent(self) -> None:
         """Set-ups that wait for a connection do not leave any more."""
         for conn in self.conns:
-            for offer in [each for each in conn.open.values() if not each.written]:
-                self._end(offer)
-                self.links.listener.on_unsent(offer)
+            for offer in [each for each in conn.open_offers.values() if not each.written]:
+                self._stop_waiting(offer)
+                self.pool.listener.on_unsent(offer)
 
     # --- standing tasks -----------------------------------------------------------------------------------
 
-    def hold(self, offer: Offer) -> None:
+    def adopt(self, offer: Offer) -> None:
         """A task that stands here already, handed over by its owner."""
         offer.leg.step(Step.HANDED)
-        offer.stood = offer.written = True
-        if not self.standing:
-            self.life.heard_ns = self.loop.now_ns()
-        self.standing[offer.id] = offer
-        self.loop.call_soon(self.keep_line)
+        offer.started = offer.written = True
+        if not self.running:
+            self.liveness.last_heard_ns = self.loop.now_ns()
+        self.running[offer.id] = offer
+        self.loop.call_soon(self.ensure_connected)
 
     def release(self, offer: Offer, cause: int) -> None:
         """Cut a task that stands; its release by the machine still comes."""
-        conn = offer.conn if offer.conn is not None and offer.conn.live() else self.line()
-        self.cuts.add(offer.id, cause)
+        conn = offer.conn if offer.conn is not None and offer.conn.is_live() else self.find_live_connection()
+        self.pending_releases.add(offer.id, cause)
         if conn is None:
-            self.keep_line()
+            self.ensure_connected()
         else:
-            self._say_cuts(conn)
+            self._send_releases(conn)
 
-    def _say_cuts(self, conn: Conn) -> None:
-        for id, cause in self.cuts.take_unsaid(conn):
-            self._put(conn, Message(Kind.RELEASE, id, cause))
+    def _send_releases(self, conn: Conn) -> None:
+        for id, cause in self.pending_releases.take_unsent(conn):
+            self._send_message(conn, Message(Kind.RELEASE, id, cause))
 
-    def needs(self, conn: Conn) -> bool:
-        return bool(self.standing) and self.conns == [conn]
+    def is_needed(self, conn: Conn) -> bool:
+        return bool(self.running) and self.conns == [conn]
 
-    def line(self) -> Conn | None:
-        return next((conn for conn in reversed(self.conns) if conn.live()), None)
+    def find_live_connection(self) -> Conn | None:
+        return next((conn for conn in reversed(self.conns) if conn.is_live()), None)
 
-    def keep_line(self) -> None:
+    def ensure_connected(self) -> None:
         """Where tasks stand a connection is kept or dialled while there is room for it; beyond that machines
         are visited in turn, by `test`."""
-        if self.standing and not self.conns and self.links.count < self.links.most():
+        if self.running and not self.conns and self.pool.connection_count < self.pool.max_connections():
             self.dial("line")
 
-    def test(self, now: int) -> None:
+    def check_liveness(self, now: int) -> None:
         """Each second: is the machine still there, while something of ours is?"""
         for conn in self.conns:
-            if not conn.open and not conn.clean:
-                conn.leave()
-        if not self.standing:
+            if not conn.open_offers and not conn.reusable:
+                conn.start_closing()
+        if not self.running:
             return
-        if self.life.quiet_ns(now) > 2 * TEST_NS:
+        if self.liveness.get_silence_ns(now) > 2 * PING_INTERVAL_NS:
             for conn in list(self.conns):
-                conn.look()
-        match self.life.due(now, bool(self.conns)):
-            case Due.GIVE_UP:
-                self.report.line("machine.silent", machine=self.name, tasks=len(self.standing))
-                self.lose("silent")
-            case Due.RECONNECT if self.conns:
-                for conn in [each for each in self.conns if each.live() and not each.open]:
+                conn.read_pending()
+        match self.liveness.choose_action(now, bool(self.conns)):
+            case LivenessAction.GIVE_UP:
+                self.report.line("machine.silent", machine=self.name, tasks=len(self.running))
+                self.fail_running_tasks("silent")
+            case LivenessAction.RECONNECT if self.conns:
+                for conn in [each for each in self.conns if each.is_live() and not each.open_offers]:
                     assert conn.stream is not None
                     conn.stream.abort(TimeoutError("silent"))
-            case Due.RECONNECT:
-                self._visit(now)
-            case Due.TEST if (line := self.line()) is not None:
-                self.life.asked(now)
-                self._put(line, Message(Kind.PING, NO_ID, TEST_ASKED))
+            case LivenessAction.RECONNECT:
+                self._reconnect(now)
+            case LivenessAction.PING if (line := self.find_live_connection()) is not None:
+                self.liveness.record_request(now)
+                self._send_message(line, Message(Kind.PING, NO_ID, TEST_ASKED))
             case _:
-                self.keep_line()
+                self.ensure_connected()
 
-    def _visit(self, now: int) -> None:
+    def _reconnect(self, now: int) -> None:
         """Dial a machine with tasks and no connection: it tells on the next one what has ended.
 
         Danger: without a visit its ends are told too late, and it would pass for silent.  So the bound is
         passed where no other can be let go, but not into what journal and log need."""
-        self.life.asked(now)
-        if self.links.make_room() or self.links.spare() > 0:
+        self.liveness.record_request(now)
+        if self.pool.make_room() or self.pool.free_descriptors() > 0:
             self.dial("visit")
 
-    def lose(self, why: str) -> None:
+    def fail_running_tasks(self, why: str) -> None:
         """The machine can't hold our tasks any more."""
-        lost, self.standing = list(self.standing.values()), {}
-        self.cuts.clear()
+        lost, self.running = list(self.running.values()), {}
+        self.pending_releases.clear()
         for offer in lost:
             offer.leg.step(Step.RELEASE)
-            self.links.listener.on_broken(offer, why)
-        if self.gone:
-            self._fold()
+            self.pool.listener.on_broken(offer, why)
+        if self.removed:
+            self._clean_up()
 
     # --- what comes in ------------------------------------------------------------------------------------
 
-    def hear(self, conn: Conn, message: Message) -> None:
-        listener = self.links.listener
-        if conn.proof is not None:
-            conn.proof.cancel()
-            conn.proof = None
+    def on_message(self, conn: Conn, message: Message) -> None:
+        listener = self.pool.listener
+        if conn.ping_timer is not None:
+            conn.ping_timer.cancel()
+            conn.ping_timer = None
             self._write_waiting(conn)
-        offer = conn.open.get(message.id)
+        offer = conn.open_offers.get(message.id)
         if message.kind is Kind.ANSWER:
             if offer is None or not offer.written:
-                self._hear_stray(conn, message)
+                self._on_stray_answer(conn, message)
             elif message.description is None:
                 raise SignalError("an answer without a description")
             else:
-                self._end(offer)
+                self._stop_waiting(offer)
                 offer.leg.step(Step.ANSWER)
-                offer.stood = True
-                self.standing[offer.id] = offer
+                offer.started = True
+                self.running[offer.id] = offer
                 listener.on_answer(offer, message.description)
                 if offer.early_end is not None:
-                    self.hear_end(offer.id, offer.early_end)
+                    self.on_task_end(offer.id, offer.early_end)
         elif message.kind is Kind.RELEASE:
-            end = End(message.cause, message.values.get(Code.NOTE))
+            end = TaskEnd(message.cause, message.values.get(Code.NOTE))
             if offer is not None and offer.written:
-                self._end(offer)
+                self._stop_waiting(offer)
                 offer.leg.step(Step.RELEASE)
                 listener.on_release(offer, end.cause, end.note)
-            elif message.id in self.standing:
-                self.hear_end(message.id, end)
-            elif message.id not in self.late:
-                self._hear_early(message.id, end)
+            elif message.id in self.running:
+                self.on_task_end(message.id, end)
+            elif message.id not in self.ended_attempts:
+                self._on_early_end(message.id, end)
         elif message.kind is Kind.NOTE:
-            offer = self.standing.get(message.id) or offer
+            offer = self.running.get(message.id) or offer
             if offer is not None:
                 try:
                     figure = float(message.values.get(Code.FIGURE, "0"))
@@ -302,75 +302,77 @@
                     raise SignalError("a note's figure is not a number")
                 listener.on_note(offer, message.values.get(Code.NOTE), figure)
         elif message.kind is Kind.PING:
-            self._put(conn, Message(Kind.PONG, message.id, 1))
+            self._send_message(conn, Message(Kind.PONG, message.id, 1))
 
-    def hear_end(self, id: str, end: End) -> None:
+    def on_task_end(self, id: str, end: TaskEnd) -> None:
         """A task that stood here has ended."""
-        self.cuts.confirmed(id)
-        offer = self.standing.pop(id, None)
+        self.pending_releases.confirm(id)
+        offer = self.running.pop(id, None)
         if offer is not None:
             offer.leg.step(Step.RELEASE)
-            self.links.listener.on_release(offer, end.cause, end.note)
+            self.pool.listener.on_release(offer, end.cause, end.note)
 
-    def _hear_early(self, id: str, end: End) -> None:
+    def _on_early_end(self, id: str, end: TaskEnd) -> None:
         """An end of a task that does not stand yet: its answer lies unread on another connection, or it is
         about to be handed over."""
         for conn in self.conns:
-            offer = conn.open.get(id)
+            offer = conn.open_offers.get(id)
             if offer is not None and offer.written:
                 offer.early_end = end
                 self.report.count("machine.early_end")
                 return
-        self.links.on_early(self.name, id, end)
+        self.pool.on_early_end(self.name, id, end)
 
-    def _hear_stray(self, conn: Conn, message: Message) -> None:
+    def _on_stray_answer(self, conn: Conn, message: Message) -> None:
         """An answer that no open set-up waits for: one given up must not stand; others are not ours."""
-        if message.id in self.late and message.id not in self.standing:
-            self._put(conn, Message(Kind.RELEASE, message.id, Cause.NORMAL))
+        if message.id in self.ended_attempts and message.id not in self.running:
+            self._send_message(conn, Message(Kind.RELEASE, message.id, Cause.NORMAL))
         self.report.count("machine.stray_answer")
 
-    def closed(self, conn: Conn, fault: BaseException | None) -> None:
+    def on_closed(self, conn: Conn, fault: BaseException | None) -> None:
         self.conns.remove(conn)
-        self.links.ended(conn)
-        if conn.proof is not None:
-            conn.proof.cancel()
+        self.pool.remove_closed(conn)
+        if conn.ping_timer is not None:
+            conn.ping_timer.cancel()
         stream = conn.stream
         up = stream is not None and stream.connected
         if not up:
-            self.life.missed = True
+            self.liveness.unresponsive = True
             self.report.line("machine.unreached", machine=self.name, why=repr(fault)[:80])
-        elif conn.open:
-            self.report.line("machine.closed", machine=self.name, why=repr(fault)[:80], open=len(conn.open))
-        unsent = [offer for offer in conn.open.values() if not offer.written]
-        if up and unsent and not self.shut and self.links.make_room():
+        elif conn.open_offers:
+            self.report.line(
+                "machine.closed", machine=self.name, why=repr(fault)[:80], open=len(conn.open_offers)
+            )
+        unsent = [offer for offer in conn.open_offers.values() if not offer.written]
+        if up and unsent and not self.setups_blocked and self.pool.make_room():
             # It waited for a test on a connection that was dead; only a new one tells whether the machine is.
             fresh = self.dial("setup")
             for offer in unsent:
                 offer.conn = fresh
-                fresh.open[offer.id] = conn.open.pop(offer.id)
-        for offer in list(conn.open.values()):
-            self._end(offer)
+                fresh.open_offers[offer.id] = conn.open_offers.pop(offer.id)
+        for offer in list(conn.open_offers.values()):
+            self._stop_waiting(offer)
             if not offer.written:
-                self.links.listener.on_unreached(offer)
+                self.pool.listener.on_unreached(offer)
             else:
                 offer.leg.step(Step.RELEASE)
-                self._remember_late(offer)
-                self.links.listener.on_broken(offer, repr(fault)[:80])
-        if not up and refused(fault) and self.standing and not self.conns:
+                self._remember_ended(offer)
+                self.pool.listener.on_broken(offer, repr(fault)[:80])
+        if not up and is_refused(fault) and self.running and not self.conns:
             # Nobody listens there: the process is dead, and its tasks with it.
-            self.lose("refused")
-        self.cuts.lost(conn)
-        if (line := self.line()) is not None:
-            self._say_cuts(line)
-        if up and not conn.let_go:
-            self.keep_line()
-        if self.gone:
-            self._fold()
-
-    def _fold(self) -> None:
+            self.fail_running_tasks("refused")
+        self.pending_releases.mark_unsent(conn)
+        if (line := self.find_live_connection()) is not None:
+            self._send_releases(line)
+        if up and not conn.closed_for_room:
+            self.ensure_connected()
+        if self.removed:
+            self._clean_up()
+
+    def _clean_up(self) -> None:
         """The machine has left the list: close what nothing needs, and forget it in the end."""
         for conn in self.conns:
-            if not conn.open:
-                conn.leave()
-        if not self.conns and not self.standing:
-            self.links.forget(self)
+            if not conn.open_offers:
+                conn.start_closing()
+        if not self.conns and not self.running:
+            self.pool.remove_link(self)
--- a/ladderhub/platform/links.py
+++ b/ladderhub/platform/links.py
@@ -19,69 +19,75 @@
 
 from ladderhub.loop import Loop
 from ladderhub.loop.stream import Address
-from ladderhub.platform.conn import Conn, ConnOwner, End, Offer, OfferListener
-from ladderhub.platform.early import Early
+from ladderhub.platform.conn import Conn, ConnHandler, Offer, OfferListener, TaskEnd
+from ladderhub.platform.early_ends import EarlyEnds
 from ladderhub.platform.link import Link
-from ladderhub.platform.liveness import TEST_NS
+from ladderhub.platform.liveness import PING_INTERVAL_NS
 from ladderhub.platform.report import Report
 
-TEST_PARTS = 10  # the tests of a second are spread over it, so that they hold up nothing
+CHECK_PARTS = 10  # the tests of a second are spread over it, so that they hold up nothing
 
 
 class Links:
     """The links to all machines, by name: an address may pass from a machine that is gone to a new one.
-    `most`: how many connections there may be now; `spare`: how many more there is room for at all.
-    `idle_ns`: machines close connections that were left idle for so long.  `share`: connections are paid for,
-    so set-ups that may be repeated share one."""
+
+    `max_connections`: how many connections there may be now; `free_descriptors`: how many more there is room
+    for at all.  `idle_timeout_ns`: machines close connections that were left idle for so long.
+    `share_connections`: connections are paid for, so set-ups that may be repeated share one."""
 
     def __init__(
-        self, loop: Loop, report: Report, listener: OfferListener, connect_ns: int, idle_ns: int,
-        most: Callable[[], int], spare: Callable[[], int], share: bool = False,
+        self, loop: Loop, report: Report, listener: OfferListener, connect_timeout_ns: int,
+        idle_timeout_ns: int, max_connections: Callable[[], int], free_descriptors: Callable[[], int],
+        share_connections: bool = False,
     ) -> None:  # fmt: skip
         self.loop, self.report, self.listener = loop, report, listener
-        self.connect_ns, self.idle_ns, self.share = connect_ns, idle_ns, share
-        self.most, self.spare = most, spare
-        self.count = 0
+        self.connect_timeout_ns, self.idle_timeout_ns, self.share_connections = (
+            connect_timeout_ns,
+            idle_timeout_ns,
+            share_connections,
+        )
+        self.max_connections, self.free_descriptors = max_connections, free_descriptors
+        self.connection_count = 0
         self._links: dict[str, Link] = {}
-        self._early: Early[tuple[str, str], End] = Early()
-        self._up: dict[Conn, None] = {}  # connections by the time they came up, oldest first
-        self._testing: list[Link] = []  # of this second, those still to be tested
-        self._part = self._portion = 0
-        loop.call_later(TEST_NS // TEST_PARTS, self._test)
+        self._early_ends: EarlyEnds[tuple[str, str], TaskEnd] = EarlyEnds()
+        self._connected: dict[Conn, None] = {}  # connections by the time they came up, oldest first
+        self._unchecked: list[Link] = []  # of this second, those still to be tested
+        self._current_part = self._links_per_part = 0
+        loop.call_later(PING_INTERVAL_NS // CHECK_PARTS, self._check_next)
 
     def make_room(self) -> bool:
         """Whether a connection may be dialled, after letting one go for it where the bound is reached."""
-        return self.count < self.most() or self._let_go()
+        return self.connection_count < self.max_connections() or self._close_idle()
 
     def trim(self) -> None:
         """Others need descriptors: one idle connection less where there are more than there may be."""
-        if self.count > self.most():
-            self._let_go()
+        if self.connection_count > self.max_connections():
+            self._close_idle()
 
-    def _let_go(self) -> bool:
+    def _close_idle(self) -> bool:
         # First what is of no use, as no task stands there or there is another line; of the rest the longest
         # up, so that all have turns of the same length.
         for needed in (False, True):
-            for conn in self._up:
-                fit = conn.idle() and conn.link.needs(conn) is needed
+            for conn in self._connected:
+                fit = conn.is_idle() and conn.link.is_needed(conn) is needed
                 if fit and conn.stream is not None and not conn.stream.unread():
-                    conn.let_go = True
+                    conn.closed_for_room = True
                     self.report.count("machine.let_go")
                     conn.stream.abort(None)
                     return True
         return False
 
-    def came_up(self, conn: Conn) -> None:
-        self._up[conn] = None
+    def add_connected(self, conn: Conn) -> None:
+        self._connected[conn] = None
 
-    def ended(self, conn: Conn) -> None:
-        self.count -= 1
-        self._up.pop(conn, None)
+    def remove_closed(self, conn: Conn) -> None:
+        self.connection_count -= 1
+        self._connected.pop(conn, None)
 
     def get(self, name: str) -> Link | None:
         return self._links.get(name)
 
-    def place(self, name: str, address: Address, serving: bool, gone: bool) -> None:
+    def update_machine(self, name: str, address: Address, serving: bool, gone: bool) -> None:
         """The list says where a machine is and whether it takes tasks."""
         link = self._links.get(name)
         if link is None:
@@ -89,36 +95,36 @@
                 return
             link = self._links[name] = Link(self, name, address)
         if address != link.address:
-            link.move(address)
-        link.shut, link.gone = not serving, gone
+            link.set_address(address)
+        link.setups_blocked, link.removed = not serving, gone
         if not serving:
-            link.unsend()
+            link.cancel_unsent()
         if gone:
-            link.lose("gone")
+            link.fail_running_tasks("gone")
 
-    def drop_others(self, listed: set[str]) -> None:
+    def remove_unlisted(self, listed: set[str]) -> None:
         """A whole list names these: all others are gone."""
         for name, link in list(self._links.items()):
             if name not in listed:
-                self.place(name, link.address, False, True)
+                self.update_machine(name, link.address, False, True)
 
-    def unsent(self) -> int:
+    def count_unsent(self) -> int:
         """Connections with bytes that their machine has not taken yet."""
-        return sum(conn.stream is not None and conn.stream.unsent() for conn in self._up)
+        return sum(conn.stream is not None and conn.stream.unsent() for conn in self._connected)
 
-    def look(self) -> None:
+    def read_pending(self) -> None:
         """Take what machines have said so far."""
-        for conn in list(self._up):
-            conn.look()
+        for conn in list(self._connected):
+            conn.read_pending()
 
     def close(self) -> None:
         """Nothing more is said to machines, or heard of them."""
-        for conn in list(self._up):
+        for conn in list(self._connected):
             if conn.stream is not None:
-                conn.let_go = True
+                conn.closed_for_room = True
                 conn.stream.abort(None)
 
-    def forget(self, link: ConnOwner) -> None:
+    def remove_link(self, link: ConnHandler) -> None:
         if self._links.get(link.name) is link:
             del self._links[link.name]
 
@@ -129,23 +135,23 @@
         else:
             link.send(offer)
 
-    def hold(self, offer: Offer) -> None:
+    def adopt(self, offer: Offer) -> None:
         """Look after a task that stands; where the list knows no such machine it ended with that machine."""
         link = self._links.get(offer.machine)
-        if link is None or link.gone:
+        if link is None or link.removed:
             self.report.line("adopted.nowhere", machine=offer.machine)
             self.loop.call_soon(self.listener.on_broken, offer, "not on the list")
         else:
-            link.hold(offer)
-            early = self._early.take(self.loop.now_ns(), (offer.machine, offer.id))
+            link.adopt(offer)
+            early = self._early_ends.take(self.loop.now_ns(), (offer.machine, offer.id))
             if early is not None:
                 # Danger: its end crossed the handing over, and its machine need not tell it twice.
                 self.report.count("adopted.over")
-                self.loop.call_soon(link.hear_end, offer.id, early)
+                self.loop.call_soon(link.on_task_end, offer.id, early)
 
-    def on_early(self, machine: str, id: str, end: End) -> None:
+    def on_early_end(self, machine: str, id: str, end: TaskEnd) -> None:
         """An end of a task that nobody here looks after; it may be about to be handed over."""
-        self._early.add(self.loop.now_ns(), (machine, id), end)
+        self._early_ends.add(self.loop.now_ns(), (machine, id), end)
 
     def give_up(self, offer: Offer) -> None:
         """See `Link.give_up`; nothing is left to do where the machine is forgotten."""
@@ -157,14 +163,17 @@
         if offer.machine in self._links:
             self._links[offer.machine].release(offer, cause)
 
-    def _test(self) -> None:
-        self.loop.call_later(TEST_NS // TEST_PARTS, self._test)
+    def _check_next(self) -> None:
+        self.loop.call_later(PING_INTERVAL_NS // CHECK_PARTS, self._check_next)
         now = self.loop.now_ns()
-        if not self._part:
-            self._testing = list(self._links.values())
-            self._portion = -(-len(self._testing) // TEST_PARTS)
-        self._part = (self._part + 1) % TEST_PARTS
-        due, self._testing = self._testing[: self._portion], self._testing[self._portion :]
+        if not self._current_part:
+            self._unchecked = list(self._links.values())
+            self._links_per_part = -(-len(self._unchecked) // CHECK_PARTS)
+        self._current_part = (self._current_part + 1) % CHECK_PARTS
+        due, self._unchecked = (
+            self._unchecked[: self._links_per_part],
+            self._unchecked[self._links_per_part :],
+        )
         for link in due:
             if self._links.get(link.name) is link:
-                link.test(now)
+                link.check_liveness(now)
--- a/ladderhub/platform/words.py
+++ b/ladderhub/platform/mapping.py
@@ -22,31 +22,38 @@
     "pushed_out": api.Reason.DISPLACED,
     "sent_away": api.Reason.SENT_AWAY,
 }
-_BEFORE: dict[int, api.Outcome] = {
+_OUTCOMES_BEFORE_ANSWER: dict[int, api.Outcome] = {
     Cause.NO_ROOM: api.Outcome.REFUSED,
     Cause.ERROR: api.Outcome.ERROR,
     Cause.MOOT: api.Outcome.NEVER_SENT,
 }
-_AFTER: dict[int, api.Outcome] = {Cause.NORMAL: api.Outcome.DONE, Cause.CANCELLED: api.Outcome.CANCELLED}
+_OUTCOMES_AFTER_ANSWER: dict[int, api.Outcome] = {
+    Cause.NORMAL: api.Outcome.DONE,
+    Cause.CANCELLED: api.Outcome.CANCELLED,
+}
 
 
-def outcome_of(cause: int | None, stood: bool) -> api.Outcome:
+def to_outcome(cause: int | None, stood: bool) -> api.Outcome:
     """What a machine's release by this cause means, before or after its answer; what is not told is LOST,
     which proves nothing."""
-    return api.Outcome.LOST if cause is None else (_AFTER if stood else _BEFORE).get(cause, api.Outcome.LOST)
+    return (
+        api.Outcome.LOST
+        if cause is None
+        else (_OUTCOMES_AFTER_ANSWER if stood else _OUTCOMES_BEFORE_ANSWER).get(cause, api.Outcome.LOST)
+    )
 
 
-def reason_of(note: str | None) -> api.Reason:
+def to_reason(note: str | None) -> api.Reason:
     found = _NOTES.get(note or "")
     return found if isinstance(found, api.Reason) else api.Reason.UNKNOWN
 
 
-def topic_of(note: str | None) -> api.Topic | None:
+def to_topic(note: str | None) -> api.Topic | None:
     found = _NOTES.get(note or "")
     return found if isinstance(found, api.Topic) else None
 
 
-class Names:
+class NameIndex:
     """Classes, tenants, machine kinds and zones by the names that the settings give them, as indices."""
 
     def __init__(self, settings: Row) -> None:
@@ -55,7 +62,7 @@
         self.kinds = {str(name): at for at, name in enumerate(settings.get("models") or ())}
         self.zones = {str(name): at for at, name in enumerate(settings.get("zones") or ())}
 
-    def entry(self, row: HostRow) -> api.MachineEntry:
+    def to_machine_entry(self, row: HostRow) -> api.MachineEntry:
         """One row of the journal; FieldError where it names what the settings don't know."""
         return api.MachineEntry(
             machine=row.name,
--- a/ladderhub/platform/owners.py
+++ b/ladderhub/platform/owners.py
@@ -11,15 +11,15 @@
 from ladderhub import interface as api
 from ladderhub.loop import Listener, Loop
 from ladderhub.loop.stream import Address
-from ladderhub.platform.liveness import OVER_NS
-from ladderhub.platform.early import Early
+from ladderhub.platform.liveness import RELEASE_DEADLINE_NS
+from ladderhub.platform.early_ends import EarlyEnds
 from ladderhub.platform.eviction import EvictionOrder, Trust
 from ladderhub.platform.ownerconn import OwnerConn
 from ladderhub.platform.reading import read_setup
 from ladderhub.platform.report import Report
 from ladderhub.platform.task import Asked, OwnerLine
 from ladderhub.platform.tasks import Tasks
-from ladderhub.platform.words import Names
+from ladderhub.platform.mapping import NameIndex
 from ladderhub.signalling import Cause, Kind, Message, SignalError, State
 from ladderhub.signalling.table import TEST_FAILED, TEST_PASSED
 
@@ -50,7 +50,7 @@
     """Listens for owners.  `most`: connections it may hold."""
 
     def __init__(
-        self, loop: Loop, report: Report, tasks: Tasks, names: Names, settings: api.Settings, most: int
+        self, loop: Loop, report: Report, tasks: Tasks, names: NameIndex, settings: api.Settings, most: int
     ) -> None:
         self.loop, self.report, self.tasks = loop, report, tasks
         self._names, self._settings, self._most = names, settings, most
@@ -66,7 +66,7 @@
         self.settling = False  # and no set-up comes any more that would be owed an answer of the module
         tasks.tell_over = self.tell_over
         self._unheard: dict[str, _Unheard] = {}
-        self._early: Early[str, int] = Early()  # causes by task
+        self._early: EarlyEnds[str, int] = EarlyEnds()  # causes by task
         report.gauges["owners"] = self.count
 
     def start(self, address: Address) -> None:
@@ -213,7 +213,7 @@
         """Tell an owner of a task that stood, on the connection of its set-up or else on another one, until
         it is heard."""
         assert isinstance(line, OwnerConn)
-        each = _Unheard(message, line.peer, self.loop.now_ns() + OVER_NS)
+        each = _Unheard(message, line.peer, self.loop.now_ns() + RELEASE_DEADLINE_NS)
         if message.kind is Kind.RELEASE:
             self._unheard[message.id] = each
         self._tell(each, line)
--- a/ladderhub/platform/pool.py
+++ b/ladderhub/platform/pool.py
@@ -6,29 +6,29 @@
 from typing import Protocol
 
 from ladderhub.loop import Loop
-from ladderhub.platform.conn import Conn, ConnOwner, End, OfferListener
+from ladderhub.platform.conn import Conn, ConnHandler, OfferListener, TaskEnd
 from ladderhub.platform.report import Report
 
 
-class Pool(Protocol):
+class ConnectionPool(Protocol):
     """The connections to all machines, as one machine's link sees them."""
 
     loop: Loop
     report: Report
     listener: OfferListener
-    connect_ns: int
-    idle_ns: int
-    most: Callable[[], int]
-    spare: Callable[[], int]
-    share: bool
-    count: int
+    connect_timeout_ns: int
+    idle_timeout_ns: int
+    max_connections: Callable[[], int]
+    free_descriptors: Callable[[], int]
+    share_connections: bool
+    connection_count: int
 
     def make_room(self) -> bool: ...
 
-    def came_up(self, conn: Conn) -> None: ...
+    def add_connected(self, conn: Conn) -> None: ...
 
-    def ended(self, conn: Conn) -> None: ...
+    def remove_closed(self, conn: Conn) -> None: ...
 
-    def forget(self, link: ConnOwner) -> None: ...
+    def remove_link(self, link: ConnHandler) -> None: ...
 
-    def on_early(self, machine: str, id: str, end: End) -> None: ...
+    def on_early_end(self, machine: str, id: str, end: TaskEnd) -> None: ...
--- a/ladderhub/platform/reading.py
+++ b/ladderhub/platform/reading.py
@@ -9,13 +9,13 @@
 
 from ladderhub import interface as api
 from ladderhub.platform.task import Asked
-from ladderhub.platform.words import Names
+from ladderhub.platform.mapping import NameIndex
 from ladderhub.signalling import Kind, Message, SignalError
 
 MS = 1_000_000
 
 
-def read_setup(message: Message, names: Names, settings: api.Settings) -> Asked:
+def read_setup(message: Message, names: NameIndex, settings: api.Settings) -> Asked:
     """A set-up's fields, checked; SignalError says which one makes no sense."""
     fields, id = message.fields, message.id
     klass_name, tenant = str(fields.get("class", "")), str(fields.get("tenant", ""))
--- a/ladderhub/platform/service.py
+++ b/ladderhub/platform/service.py
@@ -55,9 +55,9 @@
         spare = config.sockets - OWN_DESCRIPTORS - ACCEPT_MOST
         self.links = Links(
             loop, report, self.tasks, config.connect_ns, config.idle_ns,
-            most=lambda: max(machines, spare - self.door.count()),
-            spare=lambda: machines + owners - self.door.count() - self.links.count,
-            share=config.dials_cost,
+            max_connections=lambda: max(machines, spare - self.door.count()),
+            free_descriptors=lambda: machines + owners - self.door.count() - self.links.connection_count,
+            share_connections=config.dials_cost,
         )  # fmt: skip
         self.tasks.join(self.links)
         self.door = OwnerDoor(loop, report, self.tasks, config.names, config.settings, owners)
@@ -72,8 +72,8 @@
         # First what tells whether the process keeps up, since readers of the log may cut long lines.
         report.gauges = self._pace_gauges() | report.gauges
         report.gauges |= {
-            "machines": lambda: self.links.count,
-            "descriptors": lambda: self.links.count + self.door.count() + OWN_DESCRIPTORS,
+            "machines": lambda: self.links.connection_count,
+            "descriptors": lambda: self.links.connection_count + self.door.count() + OWN_DESCRIPTORS,
             "rss_mb": _resident_mb,
             "timers": loop.pending_timers,
         }
@@ -124,7 +124,7 @@
         spoilt = list(event.spoilt)
         for row in event.rows:
             try:
-                entry, address = self._config.names.entry(row), address_of(row.address, row.name)
+                entry, address = self._config.names.to_machine_entry(row), address_of(row.address, row.name)
             except (FieldError, ConfigError) as fault:
                 spoilt.append((row.name, str(fault)))
                 continue
@@ -142,10 +142,10 @@
         kind = api.ListKind.FULL if event.full else api.ListKind.CHANGES
         self.tasks.tell_list(api.MachineList(kind, event.pos, tuple(entries)))
         if event.full:
-            self.links.drop_others({entry.machine for entry in entries})
+            self.links.remove_unlisted({entry.machine for entry in entries})
         for entry, address in zip(entries, addresses, strict=True):
             serving, gone = entry.stage is api.Stage.SERVING, entry.stage is api.Stage.GONE
-            self.links.place(entry.machine, address, serving, gone)
+            self.links.update_machine(entry.machine, address, serving, gone)
 
     # --- signals ------------------------------------------------------------------------------------------
 
@@ -189,8 +189,8 @@
         if now >= self._until_ns:
             self.tasks.answer_now()
         # An end that lies unread now could not be told once the owners' connections are closed.
-        self.links.look()
-        owed = {"answers": self.tasks.open} | self.door.owes() | {"to_machines": self.links.unsent()}
+        self.links.read_pending()
+        owed = {"answers": self.tasks.open} | self.door.owes() | {"to_machines": self.links.count_unsent()}
         latest_ns = self._until_ns + STOP_EARLY_NS // 2
         if now < latest_ns and (any(owed.values()) or not self._quiet):
             # One look more after the last answer: closing over what its owner says to it would reset it.
--- a/ladderhub/platform/tasks.py
+++ b/ladderhub/platform/tasks.py
@@ -19,7 +19,7 @@
 from ladderhub.platform.placing import Placing
 from ladderhub.platform.report import Report
 from ladderhub.platform.task import Asked, OwnerLine, Task
-from ladderhub.platform.words import outcome_of, reason_of, topic_of
+from ladderhub.platform.mapping import to_outcome, to_reason, to_topic
 from ladderhub.signalling import Cause, Code, Kind, Message, State, Step
 
 MS = 1_000_000
@@ -105,7 +105,7 @@
         task.offer = offer = self._offer(task, asked.machine, task.until_ns)
         self._tell(AtHandling(lambda now: api.TaskOpen(self._asked_event(task, now), asked.machine)))
         self._report.count("adopted")
-        self._links.hold(offer)
+        self._links.adopt(offer)
         return task
 
     def _new(self, line: OwnerLine, asked: Asked, until_ns: int) -> Task:
@@ -265,7 +265,7 @@
             self._ended(offer, api.Outcome.NEVER_SENT)
         self._sending = None
 
-    def may_leave(self, offer: Offer) -> bool:
+    def confirm_send(self, offer: Offer) -> bool:
         task = self._task_of(offer)
         if task is None:
             return False
@@ -303,13 +303,13 @@
         self._answer(task, Message(Kind.ANSWER, task.asked.id, None, description))
 
     def on_release(self, offer: Offer, cause: int | None, note: str | None) -> None:
-        outcome = outcome_of(cause, offer.stood)
-        if offer.stood:
+        outcome = to_outcome(cause, offer.started)
+        if offer.started:
             self._over(offer, cause if cause is not None else Cause.BROKEN, outcome)
-        self._ended(offer, outcome, reason_of(note), f"cause {cause} {note or ''}")
+        self._ended(offer, outcome, to_reason(note), f"cause {cause} {note or ''}")
 
     def on_note(self, offer: Offer, note: str | None, figure: float) -> None:
-        topic = topic_of(note)
+        topic = to_topic(note)
         if topic is not None and self._task_of(offer) is not None:
             self._tell(api.TaskNote(offer.number, offer.attempt, offer.machine, topic, figure))
 
--- a/tests/platform/test_crowd.py
+++ b/tests/platform/test_crowd.py
@@ -135,18 +135,18 @@
     owners = [Owner(bed) for _ in range(4)]
     held = [bed.at(machine) for machine in bed.machines]
     owners[0].say(*held)
-    bed.run(lambda: bed.service.links.count == 80)
+    bed.run(lambda: bed.service.links.connection_count == 80)
     slow_down(bed, 25 * MS)
     links = bed.service.links
     for machine in bed.machines:
         link = links.get(machine.name)
-        hear = link.hear
+        hear = link.on_message
 
         def slow(conn: Any, message: Message, hear: Any = hear) -> None:
             bed.clock.advance(READING_NS)
             hear(conn, message)
 
-        link.hear = slow
+        link.on_message = slow
     for owner in owners:
         owner.say(*[bed.setup(left=9000, cores=0.01, memory=0.01) for _ in range(100)])
     bed.run(lambda: bed.service.tasks.open > 300)
--- a/tests/platform/test_gone.py
+++ b/tests/platform/test_gone.py
@@ -48,7 +48,7 @@
     ((machine, _),) = bed.heard
     go(bed, owner, asked.id, how)
     link = bed.service.links.get(machine.name)
-    link.hear(link.conns[0], release(asked.id, 34))
+    link.on_message(link.conns[0], release(asked.id, 34))
     bed.run()
     assert len(bed.heard) == 1 and bed.service.tasks.open == 0
     assert not bed.module().tasks and not bed.service.tasks._by_number
@@ -59,7 +59,9 @@
     bed = beds(never)
     owner, asked = Owner(bed), bed.setup()
     owner.say(asked)
-    bed.run(lambda: bed.service.links.count)  # dialled; the kernel has it up, and the loop has not seen that
+    bed.run(
+        lambda: bed.service.links.connection_count
+    )  # dialled; the kernel has it up, and the loop has not seen that
     go(bed, owner, asked.id, how)
     (conn,) = bed.service.links.get("m0").conns
     assert not conn.stream.connected
@@ -78,13 +80,13 @@
     bed.run(lambda: bed.heard)
     go(bed, owner, asked.id, how)
     link = bed.service.links.get("m0")
-    link.hear(link.conns[0], Message(Kind.ANSWER, asked.id, None, "runs"))
+    link.on_message(link.conns[0], Message(Kind.ANSWER, asked.id, None, "runs"))
     assert bed.service.tasks.find(asked.id) is None and not owner.got
     bed.run(lambda: bed.machines[0].got(Kind.RELEASE))
     bed.machines[0].conns[0].say(release(asked.id, 31))
     bed.run()
     assert [m.cause for m in bed.machines[0].got(Kind.RELEASE)] == [16] and not owner.got
-    assert not link.standing and not bed.module().tasks and not bed.service.tasks._by_number
+    assert not link.running and not bed.module().tasks and not bed.service.tasks._by_number
 
 
 def test_a_set_up_and_the_close_after_it_read_at_once_begin_nothing(beds: Any) -> None:
@@ -117,7 +119,7 @@
     go(bed, first, held[0].id, "closes")
     # Room comes, and the next look at the waiting is taken before the owner's end is read.
     link = bed.service.links.get("m0")
-    link.hear(link.conns[0], release(full.id, 16))
+    link.on_message(link.conns[0], release(full.id, 16))
     bed.service.tasks._tell(TimerFired(SWEEP_TIMER))
     bed.run(lambda: [m for m in other.said(Kind.ANSWER) if m.id == last.id], span_ns=0)
     assert [m.id for m in bed.machines[0].got(Kind.SETUP)] == [full.id, last.id]
--- a/tests/platform/test_journal.py
+++ b/tests/platform/test_journal.py
@@ -189,7 +189,7 @@
     for _ in range(12):
         crowd += [Owner(bed) for _ in range(10)]
         bed.run(span_ns=100 * MS)
-        second = bed.service.door.count() + bed.service.links.count
+        second = bed.service.door.count() + bed.service.links.connection_count
         assert second + 12 <= 48 and not good.closed
     bed.journal.listener = Listener(bed.loop, address, bed.journal._accept)
     bed.run(lambda: len(bed.journal.tails) == 2, span_ns=150 * MS)
@@ -212,7 +212,7 @@
     asked = bed.setup(left=500)
     owner.say(asked)
     if way == "over a dial":
-        bed.run(lambda: bed.service.links.count)
+        bed.run(lambda: bed.service.links.connection_count)
     bed.journal.write(json.dumps(event(2, machine.row("draining"))).encode() + b"\n")
     if way == "over a dial":
         bed.service.links.get("m0").conns[0].stream._ready(2)
--- a/tests/platform/test_late.py
+++ b/tests/platform/test_late.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from ladderhub.platform.follower import SILENT_NS as JOURNAL_SILENT_NS
-from ladderhub.platform.liveness import SILENT_NS
+from ladderhub.platform.liveness import SILENCE_LIMIT_NS
 from ladderhub.signalling import Kind, Message
 from tests.platform.bed import MS, Owner, S, event, never, stand, yes
 
@@ -20,7 +20,7 @@
     bed.run(lambda: bed.heard)
     bed.machines[0].conns[0].say(Message(Kind.ANSWER, asked.id, None, "runs"))
     (conn,) = bed.service.links.get("m0").conns
-    bed.service.links.get("m0")._overdue(conn.open[asked.id])
+    bed.service.links.get("m0")._on_timeout(conn.open_offers[asked.id])
     bed.run(lambda: owner.got)
     assert [each.kind for each in owner.got] == [Kind.ANSWER]
     assert bed.machines[0].got(Kind.RELEASE) == []
@@ -37,12 +37,12 @@
     bed.machines[0].silent = True  # its word is given by hand
     owner.say(bed.setup())
     link = bed.service.links.get("m0")
-    bed.run(lambda: any(conn.proof is not None for conn in link.conns))
+    bed.run(lambda: any(conn.ping_timer is not None for conn in link.conns))
     (conn,) = link.conns
     bed.run(lambda: bed.machines[0].got(Kind.PING))
     bed.machines[0].conns[0].say(Message(Kind.PONG, "0" * 16, 1))
-    link._unproven(conn)
-    assert conn.proof is None and link.conns == [conn] and not link.life.missed
+    link._on_ping_timeout(conn)
+    assert conn.ping_timer is None and link.conns == [conn] and not link.liveness.unresponsive
     bed.run(lambda: len(owner.said(Kind.ANSWER)) == 2)
 
 
@@ -51,8 +51,8 @@
     owner = Owner(bed)
     stand(bed, owner)
     bed.machines[0].conns[0].say(Message(Kind.PONG, "0" * 16, 1))
-    bed.clock.advance(SILENT_NS + S)
-    bed.service.links.get("m0").test(bed.clock.now_ns())
+    bed.clock.advance(SILENCE_LIMIT_NS + S)
+    bed.service.links.get("m0").check_liveness(bed.clock.now_ns())
     bed.run(span_ns=S)
     assert not owner.said(Kind.RELEASE)
 
@@ -62,7 +62,7 @@
     bed = beds(yes)
     owner = Owner(bed)
     stand(bed, owner)
-    bed.clock.advance(SILENT_NS + S)
+    bed.clock.advance(SILENCE_LIMIT_NS + S)
     bed.run(span_ns=5 * S)
     assert not owner.said(Kind.RELEASE)
 
@@ -77,7 +77,7 @@
     machine.script, machine.silent = never, True
     owner.say(bed.setup("bill", left=3000))
     bed.run(lambda: len(machine.got(Kind.SETUP)) == 2)
-    bed.clock.advance(SILENT_NS)
+    bed.clock.advance(SILENCE_LIMIT_NS)
     bed.run(span_ns=5 * S)
     assert asked.id in [each.id for each in owner.said(Kind.RELEASE)]
 
--- a/tests/platform/test_machines.py
+++ b/tests/platform/test_machines.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from ladderhub.platform.carrying import unused
+from ladderhub.platform.connection_choice import find_idle
 from ladderhub.platform.conn import Offer
 from ladderhub.signalling import Code, Kind, Message
 from ladderhub.signalling.journal import decode_event
@@ -61,7 +61,7 @@
     # Guards against set-ups given up as unreachable while idle connections to other machines were kept: with
     # 400 machines, most of them new, most offers ended so.  Twelve connections to twenty-four machines here.
     bed = beds(*[yes] * 24, sockets=48)
-    most = bed.service.links.most()
+    most = bed.service.links.max_connections()
     owner, held = Owner(bed), [bed.at(machine) for machine in bed.machines]
     owner.say(*held)
     peak = 0
@@ -71,7 +71,7 @@
         for _ in range(span_ns // (100 * MS)):
             bed.run(span_ns=100 * MS)
             bed.run()
-            peak = max(peak, bed.service.links.count)
+            peak = max(peak, bed.service.links.connection_count)
 
     pass_by(9 * S)
     assert not owner.said(Kind.RELEASE)
@@ -99,10 +99,11 @@
     links, owner = bed.service.links, Owner(bed)
     owner.say(*(bed.setup(cores=0.1, memory=0.1) for _ in range(140)))
     bed.run(lambda: len(owner.said(Kind.ANSWER)) == 140)
-    assert links.count == 140  # all at once, each on a connection of its own; half of the descriptors are 128
+    # all at once, each on a connection of its own; half of the descriptors are 128
+    assert links.connection_count == 140
     crowd = [Owner(bed) for _ in range(120)]
     bed.run(lambda: bed.service.door.count() == 121)
-    assert links.count == links.most() == 256 - 128 - 12
+    assert links.connection_count == links.max_connections() == 256 - 128 - 12
     assert not owner.said(Kind.RELEASE) and not any(each.closed for each in crowd)
 
 
@@ -121,10 +122,12 @@
 
     def offers(written: bool) -> set[str]:
         link = bed.service.links.get(name)
-        return {each.id for conn in link.conns for each in conn.open.values() if each.written == written}
+        return {
+            each.id for conn in link.conns for each in conn.open_offers.values() if each.written == written
+        }
 
     ask()
-    bed.run(lambda: bed.service.links.count)
+    bed.run(lambda: bed.service.links.connection_count)
     bed.run()
     for link in (bed.service.links.get(machine.name) for machine in bed.machines):
         for conn in link.conns:
@@ -156,8 +159,8 @@
     bed.service.take(decode_event(json.dumps(event(3, *rows(1024), full=True)).encode()))
     assert {stand(bed, owner).id for _ in range(20)} == {m.id for m in real.got(Kind.SETUP)}
     assert all(int(offer.machine[1:]) >= 1024 for link in bed.service.links._links.values()
-               for offer in link.standing.values())  # fmt: skip
-    assert sum(len(link.standing) for link in bed.service.links._links.values()) == 20
+               for offer in link.running.values())  # fmt: skip
+    assert sum(len(link.running) for link in bed.service.links._links.values()) == 20
 
 
 def test_a_machine_that_missed_its_test_is_dialled_at_once(beds: Any) -> None:
@@ -260,9 +263,10 @@
     bed.run(span_ns=1_940 * MS)
     later = Offer(99, 0, "m0", bed.setup("bill"), bed.clock.now_ns(), bed.clock.now_ns() + S, False)
     link, now = bed.service.links.get("m0"), bed.clock.now_ns()
-    assert unused(link.conns, later, now, link.links.idle_ns) is not None  # tests passed on it keep it in use
+    # tests passed on it keep it in use
+    assert find_idle(link.conns, later, now, link.pool.idle_timeout_ns) is not None
     (line,) = bed.service.links.get("m0").conns
-    line.used_ns -= 1_960 * MS
+    line.last_used_ns -= 1_960 * MS
     dials = bed.service.tasks._report.counts["dial.setup"]
     stand(bed, owner, "bill")  # its close may come at any moment
     assert bed.service.tasks._report.counts["dial.setup"] == dials + 1
--- a/tests/platform/test_owners.py
+++ b/tests/platform/test_owners.py
@@ -286,4 +286,4 @@
     bed.run(lambda: owner.said(Kind.RELEASE))
     bed.run(span_ns=S)
     assert [(m.id, m.cause) for m in owner.said(Kind.RELEASE)] == [(second.id, 16)]
-    assert list(bed.service.links.get("m0").standing) == [first.id]
+    assert list(bed.service.links.get("m0").running) == [first.id]
--- a/tests/platform/test_reset.py
+++ b/tests/platform/test_reset.py
@@ -6,7 +6,7 @@
 
 from typing import Any
 
-from ladderhub.platform.conn import LEAVE_NS
+from ladderhub.platform.conn import CLOSE_LINGER_NS
 from ladderhub.signalling import Kind, Message
 from tests.platform.bed import MS, Bed, Machine, MachineConn, Owner, S, never, release, stand, yes
 
@@ -35,7 +35,7 @@
     (conn,), link = bed.machines[0].conns, bed.service.links.get("m0")
     bed.clock.advance(S)
     now = bed.clock.now_ns()
-    in_one_round(bed, lambda: conn.say(release(asked.id, DONE)), conn.reset, lambda: link.test(now))
+    in_one_round(bed, lambda: conn.say(release(asked.id, DONE)), conn.reset, lambda: link.check_liveness(now))
     assert released(owner, asked)
 
 
@@ -44,7 +44,7 @@
     owner = Owner(bed)
     asked = stand(bed, owner)
     (conn,), (ours,) = bed.machines[0].conns, bed.service.links.get("m0").conns
-    in_one_round(bed, lambda: conn.say(release(asked.id, DONE)), conn.reset, ours.leave)
+    in_one_round(bed, lambda: conn.say(release(asked.id, DONE)), conn.reset, ours.start_closing)
     assert released(owner, asked)
 
 
@@ -53,10 +53,10 @@
     owner = Owner(bed)
     asked = stand(bed, owner)
     (conn,), (ours,) = bed.machines[0].conns, bed.service.links.get("m0").conns
-    ours.leave()
+    ours.start_closing()
     ours.stream.pause(True)  # the process is behind with reading
     conn.say(release(asked.id, DONE))
-    bed.run(span_ns=LEAVE_NS + 50 * MS)
+    bed.run(span_ns=CLOSE_LINGER_NS + 50 * MS)
     assert ours.stream.closed and released(owner, asked)
 
 
@@ -89,10 +89,10 @@
     owner = Owner(bed)
     asked, first, second = two_connections(bed, owner)
     link = bed.service.links.get("m0")
-    ours = next(conn for conn in link.conns if asked.id not in conn.open)
+    ours = next(conn for conn in link.conns if asked.id not in conn.open_offers)
 
     def read_second_first() -> None:
-        ours.look()
+        ours.read_pending()
 
     in_one_round(
         bed,
@@ -110,14 +110,14 @@
     owner = Owner(bed)
     asked, first, second = two_connections(bed, owner)
     link = bed.service.links.get("m0")
-    offer = next(conn.open[asked.id] for conn in link.conns if asked.id in conn.open)
-    link.late[asked.id] = None  # an earlier attempt at the same task was given up here
+    offer = next(conn.open_offers[asked.id] for conn in link.conns if asked.id in conn.open_offers)
+    link.ended_attempts[asked.id] = None  # an earlier attempt at the same task was given up here
     second.say(release(asked.id, CANCELLED))
     bed.run()
     first.say(Message(Kind.ANSWER, asked.id, None, "runs"))
     bed.run(lambda: owner.said(Kind.ANSWER))
     bed.run()
-    assert offer.stood and not released(owner, asked)
+    assert offer.started and not released(owner, asked)
 
 
 def test_an_end_of_an_attempt_that_broke_does_not_end_the_next_one_at_the_same_machine(beds: Any) -> None:
--- a/tests/platform/test_setups.py
+++ b/tests/platform/test_setups.py
@@ -209,7 +209,7 @@
     bed = beds(yes)
     owner, asked = Owner(bed), bed.setup()
     owner.say(asked)
-    bed.run(lambda: bed.service.links.count)  # dialled, and not up before the loop turns again
+    bed.run(lambda: bed.service.links.connection_count)  # dialled, and not up before the loop turns again
     if meanwhile == "drain":
         bed.service.take(decode_event(json.dumps(event(2, bed.machines[0].row("draining"))).encode()))
     elif meanwhile == "given up":
@@ -249,7 +249,7 @@
     tasks, door = bed.service.tasks, bed.service.door
     assert not tasks._by_number and not tasks._by_id and not tasks.open
     assert not door._conns and not door._unheard
-    assert bed.service.links.count <= 6 and bed.loop.pending_timers() < 20
+    assert bed.service.links.connection_count <= 6 and bed.loop.pending_timers() < 20
 
 
 def test_what_the_module_holds_of_each_machine_is_what_crossed_the_sockets(beds: Any) -> None:
@@ -288,7 +288,7 @@
     module = bed.module()
     for machine in bed.machines:
         view, link = module.fleet.machines[machine.name], bed.service.links.get(machine.name)
-        assert link is not None and set(link.standing) == stands[machine.name]
+        assert link is not None and set(link.running) == stands[machine.name]
         assert round(view.asked.own[0]) == sum(view.held.values()) == len(stands[machine.name])
         assert not view.line
     assert sum(map(len, stands.values())) == 6 and len(module.tasks) == 6 and bed.service.tasks.open == 0
--- a/tests/platform/test_stop.py
+++ b/tests/platform/test_stop.py
@@ -104,7 +104,7 @@
         owner.say(asked)
         return 0
 
-    monkeypatch.setattr(bed.service.links, "unsent", ask_late)
+    monkeypatch.setattr(bed.service.links, "count_unsent", ask_late)
     bed.service._look_settled()
     monkeypatch.undo()
     bed.run(lambda: owner.said(Kind.RELEASE))
