--- a/ladderhub/platform/link.py
+++ b/ladderhub/platform/link.py
@@ -7,8 +7,8 @@
 from ladderhub.loop.stream import Address, connect
 from ladderhub.platform import connection_choice
 from ladderhub.platform.conn import Conn, Offer, TaskEnd, is_refused
-from ladderhub.platform.pending_releases import PendingReleases
 from ladderhub.platform.liveness import PING_INTERVAL_NS, Liveness, LivenessAction
+from ladderhub.platform.pending_releases import PendingReleases
 from ladderhub.platform.pool import ConnectionPool
 from ladderhub.signalling import Cause, Code, Kind, Message, SignalError, State, Step, encode_binary
 from ladderhub.signalling.table import TEST_ASKED
--- a/ladderhub/platform/owners.py
+++ b/ladderhub/platform/owners.py
@@ -11,15 +11,15 @@
 from ladderhub import interface as api
 from ladderhub.loop import Listener, Loop
 from ladderhub.loop.stream import Address
-from ladderhub.platform.liveness import RELEASE_DEADLINE_NS
 from ladderhub.platform.early_ends import EarlyEnds
 from ladderhub.platform.eviction import EvictionOrder, Trust
+from ladderhub.platform.liveness import RELEASE_DEADLINE_NS
+from ladderhub.platform.mapping import NameIndex
 from ladderhub.platform.ownerconn import OwnerConn
 from ladderhub.platform.reading import read_setup
 from ladderhub.platform.report import Report
 from ladderhub.platform.task import Asked, OwnerLine
 from ladderhub.platform.tasks import Tasks
-from ladderhub.platform.mapping import NameIndex
 from ladderhub.signalling import Cause, Kind, Message, SignalError, State
 from ladderhub.signalling.table import TEST_FAILED, TEST_PASSED
 
--- a/ladderhub/platform/reading.py
+++ b/ladderhub/platform/reading.py
@@ -8,8 +8,8 @@
 import math
 
 from ladderhub import interface as api
-from ladderhub.platform.task import Asked
 from ladderhub.platform.mapping import NameIndex
+from ladderhub.platform.task import Asked
 from ladderhub.signalling import Kind, Message, SignalError
 
 MS = 1_000_000
--- a/ladderhub/platform/tasks.py
+++ b/ladderhub/platform/tasks.py
@@ -16,10 +16,10 @@
 from ladderhub.loop import Loop
 from ladderhub.platform.conn import Offer
 from ladderhub.platform.links import Links
+from ladderhub.platform.mapping import to_outcome, to_reason, to_topic
 from ladderhub.platform.placing import Placing
 from ladderhub.platform.report import Report
 from ladderhub.platform.task import Asked, OwnerLine, Task
-from ladderhub.platform.mapping import to_outcome, to_reason, to_topic
 from ladderhub.signalling import Cause, Code, Kind, Message, State, Step
 
 MS = 1_000_000
--- a/tests/platform/bed.py
+++ b/tests/platform/bed.py
@@ -21,7 +21,7 @@
 MS = 1_000_000
 S = 1_000 * MS
 START_NS = 1_700_000_000 * S
-HARMLESS = (34, 42, 102)  # causes that promise that nothing ran
+NEVER_RAN_CAUSES = (34, 42, 102)  # causes that promise that nothing ran
 CLASSES = [("web", "read_like", 9000), ("bill", "non_idempotent", 3000)]
 LINGER_RESET = struct.pack("ii", 1, 0)
 IP_BIND_ADDRESS_NO_PORT = 24  # of Linux; Python names it from 3.12 on
@@ -48,12 +48,12 @@
     }  # fmt: skip
 
 
-class Surroundings(Protocol):
+class BedInterface(Protocol):
     """What machines and owners need of the bed that they belong to."""
 
     loop: Loop
-    heard: list[tuple[Machine, Message]]
-    door: tuple[str, int]
+    machine_messages: list[tuple[Machine, Message]]
+    owner_address: tuple[str, int]
 
 
 class MachineConn:
@@ -61,26 +61,26 @@
 
     def __init__(self, machine: Machine, sock: Any) -> None:
         self.machine, self.reader = machine, BinaryReader()
-        self.heard: list[Message] = []
+        self.messages: list[Message] = []
         self.stream = Stream(machine.bed.loop, sock, self)
 
     def on_data(self, stream: Stream, data: bytes) -> None:
         messages, fault = self.reader.feed(data)
         assert fault is None, fault
         for message in messages:
-            self.machine.heard.append(message)
-            self.heard.append(message)
-            self.machine.bed.heard.append((self.machine, message))
+            self.machine.messages.append(message)
+            self.messages.append(message)
+            self.machine.bed.machine_messages.append((self.machine, message))
             if message.kind is Kind.PING:
-                if not self.machine.silent and self not in self.machine.dead:
-                    self.say(Message(Kind.PONG, message.id, 1))
+                if not self.machine.silent and self not in self.machine.dead_conns:
+                    self.send(Message(Kind.PONG, message.id, 1))
             else:
                 self.machine.script(self, message)
 
     def on_closed(self, stream: Stream, fault: BaseException | None) -> None:
         self.machine.conns.remove(self)
 
-    def say(self, *messages: Message) -> None:
+    def send(self, *messages: Message) -> None:
         self.stream.write(b"".join(encode_binary(message) for message in messages))
 
     def reset(self) -> None:
@@ -94,13 +94,13 @@
 class Machine:
     """A machine whose `script` answers what it hears."""
 
-    def __init__(self, bed: Surroundings, name: str, script: Script) -> None:
+    def __init__(self, bed: BedInterface, name: str, script: Script) -> None:
         self.bed, self.name, self.script = bed, name, script
-        self.heard: list[Message] = []
+        self.messages: list[Message] = []
         self.conns: list[MachineConn] = []
         self.silent = False
         self.on_accept: Callable[[MachineConn], object] = lambda conn: None
-        self.dead: list[MachineConn] = []  # connections that stay open and bring nothing any more
+        self.dead_conns: list[MachineConn] = []  # connections that stay open and bring nothing any more
         self.listener = Listener(bed.loop, (own_host(), 0), self._accept)
         self.address = self.listener.address
 
@@ -108,8 +108,8 @@
         self.conns.append(MachineConn(self, sock))
         self.on_accept(self.conns[-1])
 
-    def got(self, kind: Kind) -> list[Message]:
-        return [message for message in self.heard if message.kind is kind]
+    def received(self, kind: Kind) -> list[Message]:
+        return [message for message in self.messages if message.kind is kind]
 
     def die(self) -> None:
         self.listener.close()
@@ -123,59 +123,59 @@
         }  # fmt: skip
 
 
-def yes(conn: MachineConn, message: Message) -> None:
+def accept_all(conn: MachineConn, message: Message) -> None:
     """Accept everything, with a description that names the task."""
     if message.kind is Kind.SETUP:
-        conn.say(Message(Kind.ANSWER, message.id, None, f"runs {message.id}\r\n"))
+        conn.send(Message(Kind.ANSWER, message.id, None, f"runs {message.id}\r\n"))
 
 
-def never(conn: MachineConn, message: Message) -> None:
+def ignore_all(conn: MachineConn, message: Message) -> None:
     """Say nothing to anything."""
 
 
-def connect_from(source: str, door: tuple[str, int]) -> socket.socket:
+def connect_from(source: str, address: tuple[str, int]) -> socket.socket:
     """A connection from this address.  Its port need not be free for all destinations: callers by the
     thousand, which the kernel remembers for a minute, would use up the range."""
     sock = socket.socket()
     sock.setsockopt(socket.IPPROTO_IP, IP_BIND_ADDRESS_NO_PORT, 1)
     sock.bind((source, 0))
-    sock.connect(door)
+    sock.connect(address)
     return sock
 
 
 class Owner:
     """One connection of an owner."""
 
-    def __init__(self, bed: Surroundings, polite: bool = True, source: str = "127.0.0.1") -> None:
-        self.reader, self.polite = LineReader(), polite
-        self.got: list[Message] = []
+    def __init__(self, bed: BedInterface, acknowledges: bool = True, source: str = "127.0.0.1") -> None:
+        self.reader, self.acknowledges = LineReader(), acknowledges
+        self.messages: list[Message] = []
         self.closed = False
-        self.stream = Stream(bed.loop, connect_from(source, bed.door), self)
+        self.stream = Stream(bed.loop, connect_from(source, bed.owner_address), self)
 
     def on_data(self, stream: Stream, data: bytes) -> None:
         found, fault = self.reader.feed(data)
         assert fault is None
         for each in found:
             assert isinstance(each, Message)
-            self.got.append(each)
-            if self.polite and each.kind is Kind.RELEASE:
+            self.messages.append(each)
+            if self.acknowledges and each.kind is Kind.RELEASE:
                 stream.write(encode_line(Message(Kind.RELEASED, each.id)))
 
     def on_closed(self, stream: Stream, fault: BaseException | None) -> None:
         self.closed = True
 
-    def say(self, *messages: Message | bytes) -> None:
+    def send(self, *messages: Message | bytes) -> None:
         self.stream.write(b"".join(m if isinstance(m, bytes) else encode_line(m) for m in messages))
 
-    def said(self, kind: Kind) -> list[Message]:
-        return [message for message in self.got if message.kind is kind]
+    def received(self, kind: Kind) -> list[Message]:
+        return [message for message in self.messages if message.kind is kind]
 
 
 class Journal:
     """A journal service that writes what a test tells it to."""
 
     def __init__(self, bed: Bed) -> None:
-        self.tails: list[bytes] = []
+        self.requests: list[bytes] = []
         self.streams: list[Stream] = []
         self.bed = bed
         self.listener = Listener(bed.loop, (own_host(), 0), self._accept)
@@ -185,7 +185,7 @@
         self.streams.append(Stream(self.bed.loop, sock, self))
 
     def on_data(self, stream: Stream, data: bytes) -> None:
-        self.tails.append(data)
+        self.requests.append(data)
 
     def on_closed(self, stream: Stream, fault: BaseException | None) -> None:
         self.streams.remove(stream)
@@ -207,9 +207,9 @@
         handshake: float = 0, schedulers: int = 1, idle_ns: int = 30 * S,
     ) -> None:  # fmt: skip
         self.clock = ManualClock(START_NS)
-        self.troubles: list[str] = []
-        self.heard: list[tuple[Machine, Message]] = []  # by all machines, in order
-        self.loop = Loop(self.clock, lambda where, fault: self.troubles.append(f"{where}: {fault!r}"))
+        self.errors: list[str] = []
+        self.machine_messages: list[tuple[Machine, Message]] = []  # by all machines, in order
+        self.loop = Loop(self.clock, lambda where, fault: self.errors.append(f"{where}: {fault!r}"))
         self.machines = [Machine(self, f"m{at}", script) for at, script in enumerate(scripts)]
         self.journal = Journal(self)
         self.logged: list[dict[str, Any]] = []
@@ -232,7 +232,7 @@
         while caught_up and not self.service.follower.caught_up:
             self.loop.turn(MS)
             self.clock.advance(MS)
-        self.door: tuple[str, int] = self.service.door.address()
+        self.owner_address: tuple[str, int] = self.service.door.address()
         self._count = 0
 
     def run(self, until: Callable[[], object] | None = None, span_ns: int = 0) -> None:
@@ -259,7 +259,7 @@
         }  # fmt: skip
         return Message(Kind.SETUP, id, None, f"wants {id}\r\n", fields)
 
-    def at(self, machine: Machine) -> Message:
+    def handover(self, machine: Machine) -> Message:
         return self.setup(at=machine.name)
 
     def module(self) -> Scheduler:
@@ -267,7 +267,7 @@
         return self.service.tasks.module
 
     def close(self) -> None:
-        assert self.troubles == [], self.troubles
+        assert self.errors == [], self.errors
         assert not [row for row in self.logged if row["event"] == "trouble"]
         self.loop.close()
 
@@ -276,9 +276,9 @@
     return Message(Kind.RELEASE, id, cause, None, values={Code.NOTE: note} if note else {})
 
 
-def stand(bed: Bed, owner: Owner, klass: str = "web") -> Message:
+def place_task(bed: Bed, owner: Owner, klass: str = "web") -> Message:
     """A task that stands."""
     asked = bed.setup(klass)
-    owner.say(asked)
-    bed.run(lambda: [m for m in owner.said(Kind.ANSWER) if m.id == asked.id])
+    owner.send(asked)
+    bed.run(lambda: [m for m in owner.received(Kind.ANSWER) if m.id == asked.id])
     return asked
--- a/tests/platform/process_bed.py
+++ b/tests/platform/process_bed.py
@@ -20,7 +20,7 @@
 
 
 class ProcessBed:
-    """One scheduler process with its machines; `door` is where its owners connect."""
+    """One scheduler process with its machines; `owner_address` is where its owners connect."""
 
     def __init__(
         self, folder: Path, *scripts: Script, sockets: int = 1024,
@@ -28,9 +28,9 @@
     ) -> None:  # fmt: skip
         """`journal` starts a journal service and gives its address; without it there is none to reach."""
         self.loop = Loop()
-        self.heard: list[tuple[Machine, Message]] = []  # by all machines, in order
+        self.machine_messages: list[tuple[Machine, Message]] = []  # by all machines, in order
         self.machines = [Machine(self, f"m{at}", script) for at, script in enumerate(scripts)]
-        self.door = ("127.0.0.1", free_port())
+        self.owner_address = ("127.0.0.1", free_port())
         self.config_path = folder / "config.json"
         known = event(1, *(machine.row() for machine in self.machines), full=True)
         file = {
@@ -50,7 +50,7 @@
     def start(self) -> None:
         """Start a process; beside one that serves, it waits for the address."""
         environment = os.environ | {
-            "PROXY_NAME": "n0", "PROXY_LISTEN": ":".join(map(str, self.door)),
+            "PROXY_NAME": "n0", "PROXY_LISTEN": ":".join(map(str, self.owner_address)),
             "PROXY_CONFIG": str(self.config_path),
         }  # fmt: skip
         argv = [sys.executable, "-m", "ladderhub", "platform"]
--- a/tests/platform/soak.py
+++ b/tests/platform/soak.py
@@ -17,7 +17,7 @@
 
 from ladderhub.loop import Listener, Stream
 from ladderhub.signalling import Kind, Message
-from tests.platform.bed import MS, S, Machine, MachineConn, Owner, release
+from tests.platform.bed import MS, Machine, MachineConn, Owner, S, release
 from tests.platform.process_bed import ProcessBed
 
 MACHINES, OWNERS = 12, 5
@@ -56,13 +56,13 @@
         self.closed_ns = self.bed.loop.now_ns()
 
     def ask(self, setups: list[Message]) -> None:
-        self.say(*setups)
+        self.send(*setups)
         now = self.bed.loop.now_ns()
         self.asked_ns.update((setup.id, now) for setup in setups)
 
     def crossed(self, withdrawn: Callable[[str], bool]) -> list[str]:
         """Set-ups that crossed the close of a connection with none open on it: these are sent again, once."""
-        told = {message.id for message in self.got}
+        told = {message.id for message in self.messages}
         waits = [id for id in self.asked_ns if id not in told and not withdrawn(id)]
         open_ = {id: self.asked_ns[id] for id in waits}
         if not self.closed or any(at_ns < self.closed_ns - CROSSING_NS for at_ns in open_.values()):
@@ -97,11 +97,11 @@
             if mode == "yes":
                 self.records[message.id].accepted.append(machine.name)
                 self.standing[message.id] = (machine, conn)
-                conn.say(Message(Kind.ANSWER, message.id, None, f"runs {message.id}"))
+                conn.send(Message(Kind.ANSWER, message.id, None, f"runs {message.id}"))
             elif mode in ("full", "errs"):
-                conn.say(release(message.id, FULL if mode == "full" else ERROR, "no_cores"))
+                conn.send(release(message.id, FULL if mode == "full" else ERROR, "no_cores"))
         elif message.kind is Kind.RELEASE and self.standing.pop(message.id, None) is not None:
-            conn.say(release(message.id, 31))
+            conn.send(release(message.id, 31))
 
     def _end_task(self) -> None:
         if not self.standing:
@@ -116,7 +116,7 @@
         self._tell_end(machine, conn, id)
 
     def _tell_end(self, machine: Machine, conn: MachineConn, id: str) -> None:
-        conn.say(release(id, DONE))
+        conn.send(release(id, DONE))
         self.records[id].ended = True
 
     def _die(self, machine: Machine) -> None:
@@ -152,7 +152,7 @@
             id = self.draw.choice(self.open[owner])
             self.records[id].withdrawn = True
             self.records[id].cancelled_ns = self.bed.loop.now_ns()
-            owner.say(Message(Kind.RELEASE, id, DONE))
+            owner.send(Message(Kind.RELEASE, id, DONE))
 
     def _leave(self, owner: SoakOwner) -> None:
         owner.stream.abort()
@@ -253,10 +253,13 @@
         folder.mkdir(parents=True)
         (folder / "faults").write_text("\n".join(found) + "\n")
         (folder / "log").write_text(self.bed.log())
-        heard = [f"{machine.name} {message.kind.name} {message.id}" for machine, message in self.bed.heard]
+        heard = [
+            f"{machine.name} {message.kind.name} {message.id}"
+            for machine, message in self.bed.machine_messages
+        ]
         (folder / "machines").write_text("\n".join(heard) + "\n")
         owners = enumerate([*self.owners, *self.gone])
-        got = [f"{at} {m.kind.name} {m.id} {m.cause}" for at, owner in owners for m in owner.got]
+        got = [f"{at} {m.kind.name} {m.id} {m.cause}" for at, owner in owners for m in owner.messages]
         (folder / "owners").write_text("\n".join(got) + "\n")
         told = [f"{each}" for each in self.records.values()]
         (folder / "records").write_text("\n".join(told) + "\n")
@@ -291,8 +294,8 @@
         answered: Counter[str] = Counter()
         released: Counter[str] = Counter()
         for owner in [*self.owners, *self.gone]:
-            answered.update(message.id for message in owner.said(Kind.ANSWER))
-            released.update(message.id for message in owner.said(Kind.RELEASE))
+            answered.update(message.id for message in owner.received(Kind.ANSWER))
+            released.update(message.id for message in owner.received(Kind.RELEASE))
         for record in self.records.values():
             if answered[record.id] > 1:
                 found.append(f"{record.id}: {answered[record.id]} answers")
--- a/tests/platform/soak_service.py
+++ b/tests/platform/soak_service.py
@@ -62,7 +62,7 @@
 
     def _accepted(self, conn: MachineConn) -> None:
         for id in self.retold.pop(conn.machine, []):
-            conn.say(release(id, DONE))
+            conn.send(release(id, DONE))
 
     def _tell_end(self, machine: Machine, conn: MachineConn, id: str) -> None:
         super()._tell_end(machine, conn, id)
@@ -161,7 +161,7 @@
             if kind < 0.7:
                 caller.ask([self._setup(False, self.more.choice((1000, 3000)))])
             elif kind < 0.8:
-                caller.say(b'{"type":"setup"')
+                caller.send(b'{"type":"setup"')
             elif kind < 0.9:
                 caller.stream.abort()
 
@@ -169,14 +169,14 @@
         """Owners hand what stands to the process that serves now."""
         owner = self._come_again(self.owners[0])
         seen = [*self.owners, *self.gone]
-        answered = {m.id for each in seen for m in each.said(Kind.ANSWER)}
-        released = {m.id for each in seen for m in each.said(Kind.RELEASE)}
+        answered = {m.id for each in seen for m in each.received(Kind.ANSWER)}
+        released = {m.id for each in seen for m in each.received(Kind.RELEASE)}
         for id in sorted(answered - released):
             record = self.records[id]
             if not record.withdrawn:
                 handed = self.bed.setup(record.left_ms)
                 extras = f"{handed.fields['extras']};at:{record.accepted[-1]}"
-                owner.say(replace(handed, id=id, fields=handed.fields | {"extras": extras}))
+                owner.send(replace(handed, id=id, fields=handed.fields | {"extras": extras}))
 
     # --- the play -----------------------------------------------------------------------------------------
 
@@ -234,8 +234,8 @@
     def _pass_test(self) -> None:
         """Owners take a process in once it has passed a test."""
         owner = self._come_again(self.owners[0])
-        owner.say(Message(Kind.PING, NO_ID, TEST_ASKED))
-        self.bed.run(lambda: owner.said(Kind.PONG))
+        owner.send(Message(Kind.PING, NO_ID, TEST_ASKED))
+        self.bed.run(lambda: owner.received(Kind.PONG))
 
     def terminate(self) -> None:
         self._end_process()
--- a/tests/platform/test_crowd.py
+++ b/tests/platform/test_crowd.py
@@ -10,7 +10,7 @@
 from ladderhub import interface as api
 from ladderhub.decide.records import Machine, Task
 from ladderhub.signalling import Kind, Message
-from tests.platform.bed import MS, S, Bed, Owner, release, stand, yes
+from tests.platform.bed import MS, Bed, Owner, S, accept_all, place_task, release
 
 DECISION_NS = 10 * MS  # what one placement is made to take on the bed
 EVENT_NS = MS  # any event of the module
@@ -37,47 +37,47 @@
 
 
 def answers(owner: Owner) -> list[Message]:
-    return owner.said(Kind.ANSWER) + owner.said(Kind.RELEASE)
+    return owner.received(Kind.ANSWER) + owner.received(Kind.RELEASE)
 
 
 def test_an_end_does_not_wait_behind_a_crowd_of_set_ups(beds: Any) -> None:
-    bed = beds(*[yes] * 8)
+    bed = beds(*[accept_all] * 8)
     owners = [Owner(bed) for _ in range(4)]
-    asked = stand(bed, owners[0])
+    asked = place_task(bed, owners[0])
     slow_down(bed)
     for owner in owners:
-        owner.say(*[bed.setup(left=8000, cores=0.01, memory=0.01) for _ in range(60)])
-    machine = next(each for each in bed.machines if each.got(Kind.SETUP))
-    machine.conns[0].say(release(asked.id, 16))
+        owner.send(*[bed.setup(left=8000, cores=0.01, memory=0.01) for _ in range(60)])
+    machine = next(each for each in bed.machines if each.received(Kind.SETUP))
+    machine.conns[0].send(release(asked.id, 16))
     begun_ns = bed.clock.now_ns()
-    bed.run(lambda: any(each.id == asked.id for each in owners[0].said(Kind.RELEASE)))
+    bed.run(lambda: any(each.id == asked.id for each in owners[0].received(Kind.RELEASE)))
     assert bed.clock.now_ns() - begun_ns < S  # what has stood is released within 1 s of its end
     bed.run(lambda: sum(len(answers(owner)) for owner in owners) == 4 * 60 + 2)
 
 
 def test_a_caller_is_not_closed_as_silent_while_its_set_up_waits_to_be_read(beds: Any) -> None:
-    bed = beds(*[yes] * 8)
+    bed = beds(*[accept_all] * 8)
     slow_down(bed)
     crowd, late = Owner(bed), Owner(bed)
-    crowd.say(*[bed.setup(left=8000, cores=0.01, memory=0.01) for _ in range(400)])
-    bed.run(lambda: crowd.said(Kind.ANSWER))
-    late.say(bed.setup(left=8000))
+    crowd.send(*[bed.setup(left=8000, cores=0.01, memory=0.01) for _ in range(400)])
+    bed.run(lambda: crowd.received(Kind.ANSWER))
+    late.send(bed.setup(left=8000))
     bed.run(lambda: answers(late) or late.closed)
     assert not late.closed and len(answers(late)) == 1
 
 
 def test_a_dial_that_came_up_is_not_timed_out_by_a_late_look(beds: Any) -> None:
-    bed = beds(*[yes] * 60)
+    bed = beds(*[accept_all] * 60)
     slow_down(bed)
     owner = Owner(bed)
-    owner.say(*[bed.setup(left=8000, cores=0.01, memory=0.01) for _ in range(60)])
+    owner.send(*[bed.setup(left=8000, cores=0.01, memory=0.01) for _ in range(60)])
     bed.run(lambda: len(answers(owner)) == 60)
     assert not [row for row in bed.logged if row["event"] == "machine.unreached"]
 
 
 def test_callers_who_wait_to_be_accepted_go_before_set_ups_that_wait_to_be_placed(beds: Any) -> None:
     # Guards against requests whose answer comes after their time, as their callers were not even accepted.
-    bed = beds(*[yes] * 8, sockets=2048)
+    bed = beds(*[accept_all] * 8, sockets=2048)
     slow_down(bed)
     door, left_ms = bed.service.door, 2000
     accept = door._listener._accept
@@ -89,7 +89,7 @@
     door._listener._accept = accept_slowly
     begun_ns, callers = bed.clock.now_ns(), [Owner(bed) for _ in range(250)]
     for caller in callers:
-        caller.say(bed.setup(left=left_ms, cores=0.01, memory=0.01))
+        caller.send(bed.setup(left=left_ms, cores=0.01, memory=0.01))
     bed.run(lambda: door.count() == len(callers))
     assert bed.clock.now_ns() - begun_ns <= left_ms * MS
     bed.run(lambda: all(len(answers(caller)) == 1 for caller in callers))
@@ -97,18 +97,18 @@
 
 
 def test_a_real_process_tells_an_end_before_it_has_placed_a_crowd(process_beds: Any) -> None:
-    bed = process_beds(*[yes] * 100)
+    bed = process_beds(*[accept_all] * 100)
     owners = [bed.owner() for _ in range(4)]
     asked = bed.setup()
-    owners[0].say(asked)
-    bed.run(lambda: owners[0].said(Kind.ANSWER))
-    machine = next(each for each in bed.machines if each.got(Kind.SETUP))
+    owners[0].send(asked)
+    bed.run(lambda: owners[0].received(Kind.ANSWER))
+    machine = next(each for each in bed.machines if each.received(Kind.SETUP))
     os.kill(bed.child.pid, signal.SIGSTOP)  # so that all of it lies there at once
     for owner in owners:
-        owner.say(*[bed.setup() for _ in range(100)])
-    machine.conns[0].say(release(asked.id, 16))
+        owner.send(*[bed.setup() for _ in range(100)])
+    machine.conns[0].send(release(asked.id, 16))
     os.kill(bed.child.pid, signal.SIGCONT)
-    bed.run(lambda: any(each.id == asked.id for each in owners[0].said(Kind.RELEASE)))
+    bed.run(lambda: any(each.id == asked.id for each in owners[0].received(Kind.RELEASE)))
     os.kill(bed.child.pid, signal.SIGSTOP)
     for _ in range(50):
         bed.loop.turn(MS)
@@ -118,11 +118,11 @@
 
 
 def test_a_real_process_answers_each_set_up_of_a_crowd(process_beds: Any) -> None:
-    bed = process_beds(*[yes] * 400)
+    bed = process_beds(*[accept_all] * 400)
     owners = [bed.owner() for _ in range(16)]
     asked = {owner: [bed.setup() for _ in range(100)] for owner in owners}
     for owner, setups in asked.items():
-        owner.say(*setups)
+        owner.send(*setups)
     bed.run(lambda: all(owner.closed or len(answers(owner)) >= 100 for owner in owners))
     for owner, setups in asked.items():
         assert sorted(each.id for each in answers(owner)) == sorted(each.id for each in setups)
@@ -131,10 +131,10 @@
 
 def test_an_end_is_read_in_time_where_each_message_takes_long(beds: Any) -> None:
     # Guards against placements that take their slice while what others sent lies unread for over a second.
-    bed = beds(*[yes] * 80)
+    bed = beds(*[accept_all] * 80)
     owners = [Owner(bed) for _ in range(4)]
-    held = [bed.at(machine) for machine in bed.machines]
-    owners[0].say(*held)
+    held = [bed.handover(machine) for machine in bed.machines]
+    owners[0].send(*held)
     bed.run(lambda: bed.service.links.connection_count == 80)
     slow_down(bed, 25 * MS)
     links = bed.service.links
@@ -148,23 +148,23 @@
 
         link.on_message = slow
     for owner in owners:
-        owner.say(*[bed.setup(left=9000, cores=0.01, memory=0.01) for _ in range(100)])
+        owner.send(*[bed.setup(left=9000, cores=0.01, memory=0.01) for _ in range(100)])
     bed.run(lambda: bed.service.tasks.open > 300)
     for machine, asked in zip(bed.machines, held, strict=True):
-        machine.conns[0].say(release(asked.id, 16))
+        machine.conns[0].send(release(asked.id, 16))
     begun_ns = bed.clock.now_ns()
     ids = {each.id for each in held}
-    bed.run(lambda: ids <= {each.id for owner in owners for each in owner.said(Kind.RELEASE)})
+    bed.run(lambda: ids <= {each.id for owner in owners for each in owner.received(Kind.RELEASE)})
     assert bed.clock.now_ns() - begun_ns < S
 
 
 def test_set_ups_that_run_out_of_time_together_are_all_refused_in_time(beds: Any) -> None:
     # Guards against one answer a round where rounds are long: the others were failed at the backstop.
-    bed = beds(*[yes] * 4)
+    bed = beds(*[accept_all] * 4)
     slow_down(bed)
     owners = [Owner(bed) for _ in range(2)]
     for owner in owners:
-        owner.say(*[bed.setup(left=1000, cores=0.01, memory=0.01) for _ in range(200)])
+        owner.send(*[bed.setup(left=1000, cores=0.01, memory=0.01) for _ in range(200)])
     bed.run(lambda: sum(len(answers(owner)) for owner in owners) == 400)
     assert not [row for row in bed.logged if row["event"] == "unanswered"]
-    assert {each.cause for owner in owners for each in owner.said(Kind.RELEASE)} == {42}
+    assert {each.cause for owner in owners for each in owner.received(Kind.RELEASE)} == {42}
--- a/tests/platform/test_eviction.py
+++ b/tests/platform/test_eviction.py
@@ -7,7 +7,7 @@
 from ladderhub.platform.eviction import EvictionOrder, Trust
 from ladderhub.signalling import Kind, Message
 from tests.helpers import calls_of
-from tests.platform.bed import Owner, stand, yes
+from tests.platform.bed import Owner, accept_all, place_task
 
 
 def test_the_least_known_goes_first_and_of_those_the_longest_unheard() -> None:
@@ -27,7 +27,7 @@
     # Guards against a crowd in which each accept looks at all connections.
     costs = []
     for callers in (20, 100):
-        bed = beds(yes, sockets=512)
+        bed = beds(accept_all, sockets=512)
         strangers = [Owner(bed) for _ in range(callers)]
         bed.run(lambda bed=bed, callers=callers: bed.service.door.count() == callers)
         made, cost = calls_of(bed.service.door._make_room)
@@ -38,11 +38,11 @@
 
 
 def test_owners_outlast_a_crowd_that_only_tests(beds: Any) -> None:
-    bed = beds(yes, sockets=64)
+    bed = beds(accept_all, sockets=64)
     owner = Owner(bed)
-    stand(bed, owner)
+    place_task(bed, owner)
     for _ in range(60):
         tester = Owner(bed)
-        tester.say(Message(Kind.PING, "0" * 16, 0))
-        bed.run(lambda tester=tester: tester.said(Kind.PONG) or tester.closed)
+        tester.send(Message(Kind.PING, "0" * 16, 0))
+        bed.run(lambda tester=tester: tester.received(Kind.PONG) or tester.closed)
     assert not owner.closed
--- a/tests/platform/test_gone.py
+++ b/tests/platform/test_gone.py
@@ -13,7 +13,7 @@
 from ladderhub.interface import TimerFired
 from ladderhub.platform.ownerconn import PORTION
 from ladderhub.signalling import Kind, Message, encode_line
-from tests.platform.bed import Bed, Owner, never, release, yes
+from tests.platform.bed import Bed, Owner, accept_all, ignore_all, release
 
 GOING = ("closes", "resets", "cancels", "cancels behind a portion", "cancels where reading is paused")
 
@@ -29,97 +29,96 @@
         owner.stream.abort()
     elif how == "cancels behind a portion":
         ping = encode_line(Message(Kind.PROGRESS, "0" * 16))
-        owner.say(ping * (3 * PORTION // len(ping)), cancel)
+        owner.send(ping * (3 * PORTION // len(ping)), cancel)
     else:
         conn.stream.pause(how.endswith("paused"))
-        owner.say(cancel)
+        owner.send(cancel)
 
 
 @pytest.mark.parametrize("how", GOING)
 def test_a_refusal_starts_no_attempt_for_an_owner_that_has_gone(beds: Any, how: str) -> None:
     # Guards against the next attempt begun in the turn in which the owner's going lies unread.
-    bed = beds(never, never)
+    bed = beds(ignore_all, ignore_all)
     for name in ("m0", "m1"):
         bed.service.links.get(name).dial("line")  # so that the next attempt could leave at once
     bed.run()
     owner, asked = Owner(bed), bed.setup()
-    owner.say(asked)
-    bed.run(lambda: bed.heard)
-    ((machine, _),) = bed.heard
+    owner.send(asked)
+    bed.run(lambda: bed.machine_messages)
+    ((machine, _),) = bed.machine_messages
     go(bed, owner, asked.id, how)
     link = bed.service.links.get(machine.name)
     link.on_message(link.conns[0], release(asked.id, 34))
     bed.run()
-    assert len(bed.heard) == 1 and bed.service.tasks.open == 0
+    assert len(bed.machine_messages) == 1 and bed.service.tasks.open == 0
     assert not bed.module().tasks and not bed.service.tasks._by_number
 
 
 @pytest.mark.parametrize("how", GOING)
 def test_a_dial_that_comes_up_carries_nothing_for_an_owner_that_has_gone(beds: Any, how: str) -> None:
-    bed = beds(never)
+    bed = beds(ignore_all)
     owner, asked = Owner(bed), bed.setup()
-    owner.say(asked)
-    bed.run(
-        lambda: bed.service.links.connection_count
-    )  # dialled; the kernel has it up, and the loop has not seen that
+    owner.send(asked)
+    # dialled; the kernel has it up, and the loop has not seen that
+    bed.run(lambda: bed.service.links.connection_count)
     go(bed, owner, asked.id, how)
     (conn,) = bed.service.links.get("m0").conns
     assert not conn.stream.connected
     conn.stream._ready(2)
     assert conn.stream.connected
     bed.run()
-    assert not bed.heard and bed.service.tasks.open == 0 and not bed.module().tasks
+    assert not bed.machine_messages and bed.service.tasks.open == 0 and not bed.module().tasks
 
 
 @pytest.mark.parametrize("how", GOING)
 def test_an_answer_that_crosses_its_owners_going_is_released_at_its_machine(beds: Any, how: str) -> None:
     # Guards against a task that stands for nobody: the answer was passed on over a close that lay unread.
-    bed = beds(never)
+    bed = beds(ignore_all)
     owner, asked = Owner(bed), bed.setup()
-    owner.say(asked)
-    bed.run(lambda: bed.heard)
+    owner.send(asked)
+    bed.run(lambda: bed.machine_messages)
     go(bed, owner, asked.id, how)
     link = bed.service.links.get("m0")
     link.on_message(link.conns[0], Message(Kind.ANSWER, asked.id, None, "runs"))
-    assert bed.service.tasks.find(asked.id) is None and not owner.got
-    bed.run(lambda: bed.machines[0].got(Kind.RELEASE))
-    bed.machines[0].conns[0].say(release(asked.id, 31))
+    assert bed.service.tasks.find(asked.id) is None and not owner.messages
+    bed.run(lambda: bed.machines[0].received(Kind.RELEASE))
+    bed.machines[0].conns[0].send(release(asked.id, 31))
     bed.run()
-    assert [m.cause for m in bed.machines[0].got(Kind.RELEASE)] == [16] and not owner.got
+    assert [m.cause for m in bed.machines[0].received(Kind.RELEASE)] == [16] and not owner.messages
     assert not link.running and not bed.module().tasks and not bed.service.tasks._by_number
 
 
 def test_a_set_up_and_the_close_after_it_read_at_once_begin_nothing(beds: Any) -> None:
     # Guards also against actions lost with a task that ended while they were carried out: the same look
     # ends several tasks of one owner, and what else the module said must still be done.
-    bed = beds(yes)
+    bed = beds(accept_all)
     owner, other = Owner(bed), Owner(bed)
     bed.run()
-    owner.say(*(bed.setup() for _ in range(5)))
+    owner.send(*(bed.setup() for _ in range(5)))
     owner.stream.abort()
     bed.run()
-    assert not bed.heard and bed.service.tasks.open == 0 and not bed.module().tasks
+    assert not bed.machine_messages and bed.service.tasks.open == 0 and not bed.module().tasks
     asked = bed.setup()
-    other.say(asked)
-    bed.run(lambda: other.said(Kind.ANSWER))
+    other.send(asked)
+    bed.run(lambda: other.received(Kind.ANSWER))
 
 
 def test_waiting_tasks_of_owners_that_went_hold_up_no_others(beds: Any) -> None:
     # Guards against a sweep that is given up half way: its timer was lost with the actions behind the first.
-    bed = beds(yes)
+    bed = beds(accept_all)
     full = bed.setup(cores=32, memory=1)
     first, other = Owner(bed), Owner(bed)
-    other.say(full)
-    bed.run(lambda: other.said(Kind.ANSWER))
+    other.send(full)
+    bed.run(lambda: other.received(Kind.ANSWER))
     held = [bed.setup(left=8000, cores=2) for _ in range(3)]
-    first.say(*held)
+    first.send(*held)
     last = bed.setup(left=8000, cores=2)
-    other.say(last)
+    other.send(last)
     bed.run(lambda: len(bed.module().held) == 4)
     go(bed, first, held[0].id, "closes")
     # Room comes, and the next look at the waiting is taken before the owner's end is read.
     link = bed.service.links.get("m0")
     link.on_message(link.conns[0], release(full.id, 16))
     bed.service.tasks._tell(TimerFired(SWEEP_TIMER))
-    bed.run(lambda: [m for m in other.said(Kind.ANSWER) if m.id == last.id], span_ns=0)
-    assert [m.id for m in bed.machines[0].got(Kind.SETUP)] == [full.id, last.id]
+    bed.run(lambda: [m for m in other.received(Kind.ANSWER) if m.id == last.id], span_ns=0)
+    assert [m.id for m in bed.machines[0].received(Kind.SETUP)] == [full.id, last.id]
--- a/tests/platform/test_intake.py
+++ b/tests/platform/test_intake.py
@@ -7,7 +7,7 @@
 
 from ladderhub.platform.intake import Intake
 from ladderhub.signalling import Kind, Message
-from tests.platform.bed import HARMLESS, S, Owner, never
+from tests.platform.bed import NEVER_RAN_CAUSES, Owner, S, ignore_all
 from tests.platform.test_crowd import slow_down
 
 
@@ -57,24 +57,24 @@
 
 
 def test_what_waits_to_be_placed_is_refused_when_the_process_ends(beds: Any) -> None:
-    bed = beds(never)
+    bed = beds(ignore_all)
     slow_down(bed)
     owner = Owner(bed)
     setups = [bed.setup(left=9000, cores=0.01, memory=0.01) for _ in range(30)]
-    owner.say(*setups)
-    bed.run(lambda: bed.heard)
+    owner.send(*setups)
+    bed.run(lambda: bed.machine_messages)
     bed.service.tasks.answer_now()
-    bed.run(lambda: len(owner.said(Kind.RELEASE)) == 30)
-    assert all(each.cause in (*HARMLESS, 41) for each in owner.said(Kind.RELEASE))
-    assert len(bed.machines[0].got(Kind.SETUP)) < 30 and not bed.service.tasks.open
+    bed.run(lambda: len(owner.received(Kind.RELEASE)) == 30)
+    assert all(each.cause in (*NEVER_RAN_CAUSES, 41) for each in owner.received(Kind.RELEASE))
+    assert len(bed.machines[0].received(Kind.SETUP)) < 30 and not bed.service.tasks.open
 
 
 def test_a_set_up_taken_back_before_its_turn_begins_nothing(beds: Any) -> None:
-    bed = beds(never)
+    bed = beds(ignore_all)
     slow_down(bed)
     owner = Owner(bed)
     setups = [bed.setup(left=9000, cores=0.01, memory=0.01) for _ in range(40)]
-    owner.say(*setups, *[Message(Kind.RELEASE, each.id, 16) for each in setups[20:]])
+    owner.send(*setups, *[Message(Kind.RELEASE, each.id, 16) for each in setups[20:]])
     bed.run(span_ns=2 * S)
-    begun = {message.id for message in bed.machines[0].got(Kind.SETUP)}
+    begun = {message.id for message in bed.machines[0].received(Kind.SETUP)}
     assert begun == {each.id for each in setups[:20]}
--- a/tests/platform/test_journal.py
+++ b/tests/platform/test_journal.py
@@ -11,22 +11,22 @@
 from ladderhub.signalling import Kind, Message
 from ladderhub.loop import Listener
 from tests.platform.bed import MS, Journal, Machine, Owner, S
-from tests.platform.bed import event, release, stand, yes
+from tests.platform.bed import accept_all, event, place_task, release
 
 
 def test_the_journal_is_followed_through_breaks_silence_and_a_new_address(beds: Any) -> None:
-    bed = beds(yes)
-    new = Machine(bed, "m7", yes)
+    bed = beds(accept_all)
+    new = Machine(bed, "m7", accept_all)
     follower = bed.service.follower
-    bed.run(lambda: bed.journal.tails)
+    bed.run(lambda: bed.journal.requests)
     line = json.dumps(event(2, new.row())).encode() + b"\n"
     bed.journal.write(line + line[:30])
     bed.run(lambda: follower.pos == 2)
     bed.journal.streams[0].abort()
-    bed.run(lambda: len(bed.journal.tails) == 2)
+    bed.run(lambda: len(bed.journal.requests) == 2)
     bed.run(span_ns=1_700 * MS)  # silence: the line of each second was missed
-    bed.run(lambda: len(bed.journal.tails) == 3)
-    assert bed.journal.tails == [b"tail 1\n", b"tail 2\n", b"tail 2\n"]
+    bed.run(lambda: len(bed.journal.requests) == 3)
+    assert bed.journal.requests == [b"tail 1\n", b"tail 2\n", b"tail 2\n"]
     moved, old = bed.journal, bed.journal.streams[0]
     bed.journal = Journal(bed)
     bed.file["journal"] = bed.journal.address
@@ -36,7 +36,7 @@
             patch.setenv(name, value)
         patch.setenv("PROXY_LISTEN", "127.0.0.1:1")
         bed.service.reload()
-        bed.run(lambda: bed.journal.tails)
+        bed.run(lambda: bed.journal.requests)
         old.write(json.dumps(event(3, new.row("draining"))).encode() + b"\n")  # still good for a while
         bed.run(lambda: follower.pos == 3)
         bed.journal.write(json.dumps(event(3, new.row("draining"))).encode() + b"\n")
@@ -45,51 +45,51 @@
     assert [row for row in bed.logged if row["event"] == "reload.refused"]
     bed.journal.write(json.dumps(event(4, new.row("gone"))).encode() + b"\n")
     bed.run(lambda: follower.pos == 4)
-    assert moved.tails[-1] == b"tail 2\n" and bed.journal.tails == [b"tail 2\n"]
+    assert moved.requests[-1] == b"tail 2\n" and bed.journal.requests == [b"tail 2\n"]
 
 
 def test_no_test_is_passed_before_what_was_told_during_the_start_is_taken(beds: Any) -> None:
     # Guards against set-ups to machines that were announced as leaving while the scheduler was starting: its
     # list is as old as its start is long, and whoever passes a test gets set-ups at once.
-    bed = beds(yes, yes, caught_up=False)
+    bed = beds(accept_all, accept_all, caught_up=False)
     owner = Owner(bed)
-    owner.say(Message(Kind.PING, "0" * 16, 0))
-    bed.run(lambda: bed.journal.tails)
+    owner.send(Message(Kind.PING, "0" * 16, 0))
+    bed.run(lambda: bed.journal.requests)
     bed.run()
-    assert not owner.said(Kind.PONG)
+    assert not owner.received(Kind.PONG)
     told = json.dumps(event(2, bed.machines[0].row("draining"))).encode() + b"\n"
     bed.journal.write(told[:40])
     bed.run()
-    assert not owner.said(Kind.PONG)
+    assert not owner.received(Kind.PONG)
     bed.journal.write(told[40:])
-    bed.run(lambda: owner.said(Kind.PONG))
+    bed.run(lambda: owner.received(Kind.PONG))
     for _ in range(4):
-        stand(bed, owner)
-    assert {machine.name for machine, _ in bed.heard} == {"m1"}
+        place_task(bed, owner)
+    assert {machine.name for machine, _ in bed.machine_messages} == {"m1"}
 
 
 @pytest.mark.parametrize("journal", ["has nothing to tell", "does not answer"])
 def test_a_journal_without_news_keeps_no_scheduler_from_serving(beds: Any, journal: str) -> None:
-    bed = beds(yes, caught_up=False)
+    bed = beds(accept_all, caught_up=False)
     if journal == "does not answer":
         bed.journal.listener.close()
     owner = Owner(bed)
-    owner.say(Message(Kind.PING, "0" * 16, 0))
+    owner.send(Message(Kind.PING, "0" * 16, 0))
     bed.run(span_ns=260 * MS)
-    bed.run(lambda: owner.said(Kind.PONG))
-    assert owner.said(Kind.PONG)[0].cause == 1
+    bed.run(lambda: owner.received(Kind.PONG))
+    assert owner.received(Kind.PONG)[0].cause == 1
 
 
 def test_the_journal_is_read_before_set_ups_that_lie_there_with_it(beds: Any) -> None:
     # Guards against a flood of set-ups under which an announced drain lies unread, past the grace.
-    bed = beds(yes, yes)
+    bed = beds(accept_all, accept_all)
     owners = [Owner(bed) for _ in range(30)]
     bed.run()
     for owner in owners:
-        owner.say(bed.setup(cores=0.1, memory=0.1), bed.setup(cores=0.1, memory=0.1))
+        owner.send(bed.setup(cores=0.1, memory=0.1), bed.setup(cores=0.1, memory=0.1))
     bed.journal.write(json.dumps(event(2, bed.machines[0].row("draining"))).encode() + b"\n")
-    bed.run(lambda: all(len(owner.said(Kind.ANSWER)) == 2 for owner in owners))
-    assert {machine.name for machine, _ in bed.heard} == {"m1"}
+    bed.run(lambda: all(len(owner.received(Kind.ANSWER)) == 2 for owner in owners))
+    assert {machine.name for machine, _ in bed.machine_messages} == {"m1"}
 
 
 @pytest.mark.parametrize(
@@ -100,14 +100,14 @@
 ) -> None:
     # Guards against one bad row that keeps the whole list from changing, or a scheduler from starting; and
     # against set-ups to the machine that it was about, which may be leaving.
-    bed = beds(yes, yes, yes)
+    bed = beds(accept_all, accept_all, accept_all)
     owner, (one, two, _) = Owner(bed), bed.machines
     rows = (one.row("draining") | spoilt, two.row("draining"))
     bed.journal.write(json.dumps(event(2, *rows)).encode() + b'\n{"pos":3,"hosts":7}\n')
     bed.run(lambda: bed.service.follower.pos == 3)
     for _ in range(4):
-        stand(bed, owner)
-    assert {machine.name for machine, _ in bed.heard} == {"m2"}
+        place_task(bed, owner)
+    assert {machine.name for machine, _ in bed.machine_messages} == {"m2"}
     assert [row["machine"] for row in bed.logged if row["event"] == "list.row"] == ["m0", ""]
     assert not [row for row in bed.logged if row["event"] == "journal.closed"]
     bed.file["known"] = {"pos": 1, "entries": [event(1, *rows, full=True)]}
@@ -117,7 +117,7 @@
 
 
 def test_a_journal_that_only_accepts_is_not_dialled_without_a_pause(beds: Any) -> None:
-    bed = beds(yes)
+    bed = beds(accept_all)
     bed.run(lambda: bed.journal.streams)
     dials: list[None] = []
     bed.journal.listener._accept = lambda sock: dials.append(sock.close())
@@ -131,10 +131,10 @@
 ) -> None:
     # Guards against a connection to the first address that nobody kept: it was never closed where its service
     # did not close it, and what it told last was lost where it was closed too soon.
-    bed = beds(yes)
-    new = Machine(bed, "m7", yes)
+    bed = beds(accept_all)
+    new = Machine(bed, "m7", accept_all)
     follower, first = bed.service.follower, bed.journal
-    bed.run(lambda: first.tails)
+    bed.run(lambda: first.requests)
     services = [first, Journal(bed), Journal(bed)]  # the middle one accepts and is silent
     for name, value in bed.environment.items():
         monkeypatch.setenv(name, value)
@@ -153,14 +153,14 @@
         services[2].write(b"4\n")
         bed.run(span_ns=100 * MS)
     assert [len(service.streams) for service in services] == [0, 0, 1] and not follower._old
-    assert bed.service.links.get("m7") is None and len(services[2].tails) == 1
+    assert bed.service.links.get("m7") is None and len(services[2].requests) == 1
 
 
 def test_a_file_read_while_it_was_being_written_is_read_again(
     beds: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Guards against a signal that came in the middle of a write: nobody signals again.
-    bed = beds(yes)
+    bed = beds(accept_all)
     other = Journal(bed)
     for name, value in bed.environment.items():
         monkeypatch.setenv(name, value)
@@ -170,17 +170,17 @@
     bed.service.reload()
     bed.run(span_ns=300 * MS)
     bed.path.write_text(whole)
-    bed.run(lambda: other.tails, span_ns=200 * MS)
+    bed.run(lambda: other.requests, span_ns=200 * MS)
     assert len([row for row in bed.logged if row["event"] == "reload.refused"]) == 1
     assert len([row for row in bed.logged if row["event"] == "reload"]) == 1
 
 
 def test_idle_clients_that_fill_the_descriptors_keep_nobody_from_the_journal(beds: Any) -> None:
     # Guards against a list that grows old behind a crowd: the journal, the machines and the log have theirs.
-    bed = beds(yes, sockets=48)
+    bed = beds(accept_all, sockets=48)
     good = Owner(bed)
-    standing, open_one = stand(bed, good), bed.setup(left=8000, cores=32)
-    good.say(open_one)
+    standing, open_one = place_task(bed, good), bed.setup(left=8000, cores=32)
+    good.send(open_one)
     bed.run(lambda: bed.module().held)
     address = bed.journal.listener.address
     bed.journal.listener.close()
@@ -192,25 +192,25 @@
         second = bed.service.door.count() + bed.service.links.connection_count
         assert second + 12 <= 48 and not good.closed
     bed.journal.listener = Listener(bed.loop, address, bed.journal._accept)
-    bed.run(lambda: len(bed.journal.tails) == 2, span_ns=150 * MS)
+    bed.run(lambda: len(bed.journal.requests) == 2, span_ns=150 * MS)
     fresh = Owner(bed)
-    stand(bed, fresh)
-    bed.machines[0].conns[0].say(release(standing.id, 16))
-    bed.run(lambda: [m for m in good.said(Kind.RELEASE) if m.id == standing.id])
-    assert not good.closed and bed.troubles == []
+    place_task(bed, fresh)
+    bed.machines[0].conns[0].send(release(standing.id, 16))
+    bed.run(lambda: [m for m in good.received(Kind.RELEASE) if m.id == standing.id])
+    assert not good.closed and bed.errors == []
 
 
 @pytest.mark.parametrize("way", ["at once", "over a dial"])
 def test_a_drain_that_lies_unread_as_a_set_up_leaves_is_heard_first(beds: Any, way: str) -> None:
     # Guards against a long round of the loop: the event counts as told while it lies in our socket.
-    bed = beds(yes)
+    bed = beds(accept_all)
     machine, owner = bed.machines[0], Owner(bed)
-    bed.run(lambda: bed.journal.tails)
+    bed.run(lambda: bed.journal.requests)
     if way == "at once":
         bed.service.links.get("m0").dial("line")
         bed.run()
     asked = bed.setup(left=500)
-    owner.say(asked)
+    owner.send(asked)
     if way == "over a dial":
         bed.run(lambda: bed.service.links.connection_count)
     bed.journal.write(json.dumps(event(2, machine.row("draining"))).encode() + b"\n")
@@ -220,4 +220,4 @@
         (conn,) = bed.service.door._conns
         conn.stream._ready(1)
     bed.run(span_ns=S)
-    assert not bed.heard and [m.cause for m in owner.said(Kind.RELEASE)] == [42]
+    assert not bed.machine_messages and [m.cause for m in owner.received(Kind.RELEASE)] == [42]
--- a/tests/platform/test_machines.py
+++ b/tests/platform/test_machines.py
@@ -14,56 +14,56 @@
 from ladderhub.signalling import Code, Kind, Message
 from ladderhub.signalling.journal import decode_event
 from tests.platform.bed import MS, Owner, S
-from tests.platform.bed import event, never, release, stand, yes
+from tests.platform.bed import accept_all, event, ignore_all, place_task, release
 
 
 def test_a_standing_task_outlives_its_connection_but_not_its_machine(beds: Any) -> None:
-    bed = beds(yes)
+    bed = beds(accept_all)
     machine, owner = bed.machines[0], Owner(bed)
-    one, two = stand(bed, owner), stand(bed, owner)
+    one, two = place_task(bed, owner), place_task(bed, owner)
     for conn in list(machine.conns):
         conn.stream.abort()
     bed.run(lambda: machine.conns)  # there must be a connection, or the machine could tell nothing
-    machine.conns[0].say(release(one.id, 16))
-    bed.run(lambda: owner.said(Kind.RELEASE))
+    machine.conns[0].send(release(one.id, 16))
+    bed.run(lambda: owner.received(Kind.RELEASE))
     machine.die()
-    bed.run(lambda: len(owner.said(Kind.RELEASE)) == 2)
-    assert [(m.id, m.cause) for m in owner.said(Kind.RELEASE)] == [(one.id, 16), (two.id, 41)]
+    bed.run(lambda: len(owner.received(Kind.RELEASE)) == 2)
+    assert [(m.id, m.cause) for m in owner.received(Kind.RELEASE)] == [(one.id, 16), (two.id, 41)]
 
 
 def test_tasks_of_a_machine_that_fell_silent_are_over_within_eight_seconds(beds: Any) -> None:
-    bed = beds(yes)
+    bed = beds(accept_all)
     owner = Owner(bed)
-    asked = stand(bed, owner)
+    asked = place_task(bed, owner)
     bed.run(span_ns=20 * S)
-    assert not owner.said(Kind.RELEASE)  # it answers its tests
+    assert not owner.received(Kind.RELEASE)  # it answers its tests
     bed.machines[0].silent = True
     bed.run(span_ns=5 * S)
-    assert not owner.said(Kind.RELEASE)
+    assert not owner.received(Kind.RELEASE)
     bed.run(span_ns=2_900 * MS)
-    assert [m.id for m in owner.said(Kind.RELEASE)] == [asked.id]
+    assert [m.id for m in owner.received(Kind.RELEASE)] == [asked.id]
 
 
 def test_a_machine_whose_connections_died_in_silence_is_asked_over_a_new_one(beds: Any) -> None:
     # Guards against tasks given up with their connection: a draining machine gets no set-ups that would show
     # that it lives, and a connection dialled anew was not tested.
-    bed = beds(yes)
+    bed = beds(accept_all)
     machine, owner = bed.machines[0], Owner(bed)
-    asked = stand(bed, owner)
-    machine.dead = list(machine.conns)
+    asked = place_task(bed, owner)
+    machine.dead_conns = list(machine.conns)
     bed.run(span_ns=15 * S)
-    assert not owner.said(Kind.RELEASE)
-    machine.conns[-1].say(release(asked.id, 16))
-    bed.run(lambda: owner.said(Kind.RELEASE))
+    assert not owner.received(Kind.RELEASE)
+    machine.conns[-1].send(release(asked.id, 16))
+    bed.run(lambda: owner.received(Kind.RELEASE))
 
 
 def test_more_machines_than_descriptors_are_all_reached_and_heard_in_time(beds: Any) -> None:
     # Guards against set-ups given up as unreachable while idle connections to other machines were kept: with
     # 400 machines, most of them new, most offers ended so.  Twelve connections to twenty-four machines here.
-    bed = beds(*[yes] * 24, sockets=48)
+    bed = beds(*[accept_all] * 24, sockets=48)
     most = bed.service.links.max_connections()
-    owner, held = Owner(bed), [bed.at(machine) for machine in bed.machines]
-    owner.say(*held)
+    owner, held = Owner(bed), [bed.handover(machine) for machine in bed.machines]
+    owner.send(*held)
     peak = 0
 
     def pass_by(span_ns: int) -> None:
@@ -74,42 +74,42 @@
             peak = max(peak, bed.service.links.connection_count)
 
     pass_by(9 * S)
-    assert not owner.said(Kind.RELEASE)
-    assert all(machine.got(Kind.PING) for machine in bed.machines)
+    assert not owner.received(Kind.RELEASE)
+    assert all(machine.received(Kind.PING) for machine in bed.machines)
     for round_ in range(6):
         asked = [bed.setup(service=f"{round_:02}{at:02}" * 4) for at in range(4)]
-        owner.say(*asked)
-        bed.run(lambda asked=asked: {m.id for m in asked} <= {m.id for m in owner.said(Kind.ANSWER)})
+        owner.send(*asked)
+        bed.run(lambda asked=asked: {m.id for m in asked} <= {m.id for m in owner.received(Kind.ANSWER)})
         pass_by(200 * MS)
-    assert not owner.said(Kind.RELEASE) and not [row for row in bed.logged if row["event"] == "attempt"]
+    assert not owner.received(Kind.RELEASE) and not [row for row in bed.logged if row["event"] == "attempt"]
     # All end at once.  Each machine tells it on a connection that it has, else on the next one opened.
     over = {machine.name: one.id for machine, one in zip(bed.machines, held, strict=True)}
     for machine in bed.machines:
-        machine.on_accept = lambda conn: conn.say(release(over[conn.machine.name], 16))
+        machine.on_accept = lambda conn: conn.send(release(over[conn.machine.name], 16))
         for conn in machine.conns[:1]:
-            conn.say(release(over[machine.name], 16))
+            conn.send(release(over[machine.name], 16))
     pass_by(7 * S)
-    assert {m.id for m in owner.said(Kind.RELEASE)} == set(over.values())
+    assert {m.id for m in owner.received(Kind.RELEASE)} == set(over.values())
     assert peak <= most == 12
 
 
 def test_descriptors_that_owners_leave_go_to_machines_until_owners_come(beds: Any) -> None:
     # Guards against lines that are closed and dialled in turn while half of the descriptors lie unused.
-    bed = beds(*[yes] * 4, sockets=256)
+    bed = beds(*[accept_all] * 4, sockets=256)
     links, owner = bed.service.links, Owner(bed)
-    owner.say(*(bed.setup(cores=0.1, memory=0.1) for _ in range(140)))
-    bed.run(lambda: len(owner.said(Kind.ANSWER)) == 140)
+    owner.send(*(bed.setup(cores=0.1, memory=0.1) for _ in range(140)))
+    bed.run(lambda: len(owner.received(Kind.ANSWER)) == 140)
     # all at once, each on a connection of its own; half of the descriptors are 128
     assert links.connection_count == 140
     crowd = [Owner(bed) for _ in range(120)]
     bed.run(lambda: bed.service.door.count() == 121)
     assert links.connection_count == links.max_connections() == 256 - 128 - 12
-    assert not owner.said(Kind.RELEASE) and not any(each.closed for each in crowd)
+    assert not owner.received(Kind.RELEASE) and not any(each.closed for each in crowd)
 
 
 def test_what_a_machine_does_not_take_is_not_sent_once_it_is_leaving(beds: Any) -> None:
     # Guards against set-ups that lie in the buffer of a connection and leave after the drain was heard.
-    bed = beds(never, never, handshake=0.08)
+    bed = beds(ignore_all, ignore_all, handshake=0.08)
     for machine in bed.machines:
         machine.listener.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         machine.on_accept = lambda conn: conn.stream.pause(True)
@@ -118,7 +118,7 @@
     def ask() -> None:
         asked = bed.setup(cores=0.1, memory=0.1, left=9000)
         asked.description = "x" * 12_000
-        owner.say(asked)
+        owner.send(asked)
 
     def offers(written: bool) -> set[str]:
         link = bed.service.links.get(name)
@@ -143,12 +143,12 @@
     for conn in leaving.conns:
         conn.stream.pause(False)
     bed.run(span_ns=S)
-    assert begun and {message.id for message in leaving.got(Kind.SETUP)} <= begun
+    assert begun and {message.id for message in leaving.received(Kind.SETUP)} <= begun
 
 
 def test_a_thousand_machines_and_schedulers_are_taken_at_the_start_and_by_events(beds: Any) -> None:
     # Guards against a bound on either list; the users have hundreds of both.
-    bed = beds(yes, schedulers=1024)
+    bed = beds(accept_all, schedulers=1024)
     owner, real = Owner(bed), bed.machines[0]
 
     def rows(first: int) -> list[dict[str, Any]]:
@@ -157,7 +157,7 @@
     bed.service.take(decode_event(json.dumps(event(2, *rows(0), full=True)).encode()))
     assert sum(not machine.shut for machine in bed.module().fleet.machines.values()) == 1024
     bed.service.take(decode_event(json.dumps(event(3, *rows(1024), full=True)).encode()))
-    assert {stand(bed, owner).id for _ in range(20)} == {m.id for m in real.got(Kind.SETUP)}
+    assert {place_task(bed, owner).id for _ in range(20)} == {m.id for m in real.received(Kind.SETUP)}
     assert all(int(offer.machine[1:]) >= 1024 for link in bed.service.links._links.values()
                for offer in link.running.values())  # fmt: skip
     assert sum(len(link.running) for link in bed.service.links._links.values()) == 20
@@ -166,100 +166,100 @@
 def test_a_machine_that_missed_its_test_is_dialled_at_once(beds: Any) -> None:
     # Guards against waiting twice for a machine that is cut off, for a test on a connection and for a dial:
     # half a second for each offer, on a day when a fifth of the machines fell silent.
-    bed = beds(yes)
+    bed = beds(accept_all)
     machine, owner = bed.machines[0], Owner(bed)
-    stand(bed, owner)
+    place_task(bed, owner)
     bed.run(span_ns=3 * S)
-    machine.dead = list(machine.conns)
+    machine.dead_conns = list(machine.conns)
     bed.run(span_ns=1_200 * MS)
     asked = bed.setup()
-    owner.say(asked)
-    bed.run(lambda: [m for m in owner.said(Kind.ANSWER) if m.id == asked.id])  # the clock stands still
+    owner.send(asked)
+    bed.run(lambda: [m for m in owner.received(Kind.ANSWER) if m.id == asked.id])  # the clock stands still
 
 
 def test_where_connections_are_paid_for_repeatable_set_ups_share_one_and_others_do_not(beds: Any) -> None:
     # Guards against a handshake for each of several set-ups under way to one machine: four of ten connections
     # were of that kind, and cost a twentieth of a day's score.
-    bed = beds(never, handshake=0.08)
+    bed = beds(ignore_all, handshake=0.08)
     machine, owner = bed.machines[0], Owner(bed)
     safe, unsafe = [bed.setup() for _ in range(6)], [bed.setup("bill") for _ in range(2)]
-    owner.say(*safe[:3], *unsafe, *safe[3:])
-    bed.run(lambda: len(machine.got(Kind.SETUP)) == 8)
+    owner.send(*safe[:3], *unsafe, *safe[3:])
+    bed.run(lambda: len(machine.received(Kind.SETUP)) == 8)
     assert len(machine.conns) == 3
-    shared = max(machine.conns, key=lambda conn: len(conn.heard))
-    assert {m.id for m in shared.heard} == {m.id for m in safe}
+    shared = max(machine.conns, key=lambda conn: len(conn.messages))
+    assert {m.id for m in shared.messages} == {m.id for m in safe}
     # What is spoilt there ends those on it, each once, and none of the others; they are asked for again.
-    machine.script = yes
+    machine.script = accept_all
     shared.stream.write(b"\0\1\0")
-    bed.run(lambda: {m.id for m in owner.said(Kind.ANSWER)} == {m.id for m in safe})
-    assert not owner.said(Kind.RELEASE)
+    bed.run(lambda: {m.id for m in owner.received(Kind.ANSWER)} == {m.id for m in safe})
+    assert not owner.received(Kind.RELEASE)
 
 
 def test_a_quiet_connection_is_tested_and_used_again_and_a_dead_one_replaced(beds: Any) -> None:
     # Guards against a new connection for nearly each set-up: two of three offers dialled, though idle
     # connections to the same machines stood open, and each is paid for.
-    bed = beds(yes)
+    bed = beds(accept_all)
     machine, owner = bed.machines[0], Owner(bed)
     for turn in range(3):
-        asked = stand(bed, owner)
-        machine.conns[0].say(release(asked.id, 16))
-        bed.run(lambda turn=turn: len(owner.said(Kind.RELEASE)) == turn + 1)
+        asked = place_task(bed, owner)
+        machine.conns[0].send(release(asked.id, 16))
+        bed.run(lambda turn=turn: len(owner.received(Kind.RELEASE)) == turn + 1)
         bed.run(span_ns=5 * S)  # nothing stands there: nobody asks whether the machine is there
-    assert len(machine.conns) == 1 and len(machine.got(Kind.PING)) >= 2
+    assert len(machine.conns) == 1 and len(machine.received(Kind.PING)) >= 2
     # The connection brings nothing more, the machine lives: nothing is written until that is known.
-    machine.dead = list(machine.conns)
+    machine.dead_conns = list(machine.conns)
     asked = bed.setup()
-    owner.say(asked)
-    bed.run(lambda: len(machine.got(Kind.PING)) >= 3)
-    assert not [m for m in machine.got(Kind.SETUP) if m.id == asked.id]
+    owner.send(asked)
+    bed.run(lambda: len(machine.received(Kind.PING)) >= 3)
+    assert not [m for m in machine.received(Kind.SETUP) if m.id == asked.id]
     bed.run(span_ns=260 * MS)
-    bed.run(lambda: [m for m in owner.said(Kind.ANSWER) if m.id == asked.id])
-    assert len([m for m in machine.got(Kind.SETUP) if m.id == asked.id]) == 1
+    bed.run(lambda: [m for m in owner.received(Kind.ANSWER) if m.id == asked.id])
+    assert len([m for m in machine.received(Kind.SETUP) if m.id == asked.id]) == 1
 
 
 @pytest.mark.parametrize("figure", ["nan", "inf", "-inf", "much", "1e999"])
 def test_a_note_without_a_finite_figure_never_reaches_the_module(beds: Any, figure: str) -> None:
     # Guards against one bad figure that would stay in the module's averages for good.
-    bed = beds(yes)
+    bed = beds(accept_all)
     owner = Owner(bed)
-    asked = stand(bed, owner)
+    asked = place_task(bed, owner)
     note = Message(Kind.NOTE, asked.id, values={Code.NOTE: "cores", Code.FIGURE: figure})
-    bed.machines[0].conns[0].say(note)
+    bed.machines[0].conns[0].send(note)
     bed.run(lambda: [row for row in bed.logged if row["event"] == "machine.spoilt"])
     assert math.isfinite(bed.module().ledger.class_use[0][0].value)
     assert bed.service.tasks.find(asked.id) is not None
 
 
 def test_a_new_machine_at_the_address_of_one_that_is_gone_has_a_link_of_its_own(beds: Any) -> None:
-    bed = beds(yes)
+    bed = beds(accept_all)
     machine, owner = bed.machines[0], Owner(bed)
-    asked = stand(bed, owner)
+    asked = place_task(bed, owner)
     row = machine.row() | {"name": "heir", "since_ms": 0}
     bed.journal.write(json.dumps(event(2, machine.row("gone"), row)).encode() + b"\n")
-    bed.run(lambda: owner.said(Kind.RELEASE))
-    assert (owner.said(Kind.RELEASE)[0].id, owner.said(Kind.RELEASE)[0].cause) == (asked.id, 41)
-    after = stand(bed, owner)
-    machine.conns[-1].say(release(asked.id, 16))  # a word of the old one's says nothing of the new one's
+    bed.run(lambda: owner.received(Kind.RELEASE))
+    assert (owner.received(Kind.RELEASE)[0].id, owner.received(Kind.RELEASE)[0].cause) == (asked.id, 41)
+    after = place_task(bed, owner)
+    machine.conns[-1].send(release(asked.id, 16))  # a word of the old one's says nothing of the new one's
     bed.run()
-    assert bed.service.tasks.find(after.id) is not None and len(owner.said(Kind.RELEASE)) == 1
+    assert bed.service.tasks.find(after.id) is not None and len(owner.received(Kind.RELEASE)) == 1
 
 
 def test_a_machine_s_idle_close_never_meets_an_unsafe_set_up(beds: Any) -> None:
     # Guards against a set-up written on a connection that its machine has just closed as idle: it may have
     # run, so an unsafe one fails.  First the close lies unread here; then it is about to come.
-    bed = beds(yes, idle_ns=2 * S)
+    bed = beds(accept_all, idle_ns=2 * S)
     machine, owner = bed.machines[0], Owner(bed)
-    over = stand(bed, owner, "bill")
-    machine.conns[0].say(release(over.id, 16))
-    bed.run(lambda: owner.said(Kind.RELEASE))
+    over = place_task(bed, owner, "bill")
+    machine.conns[0].send(release(over.id, 16))
+    bed.run(lambda: owner.received(Kind.RELEASE))
     machine.conns[0].stream.abort()
     asked = bed.setup("bill")
     (conn,) = bed.service.door._conns
     bed.service.door.hear(conn, asked)  # in the turn in which that close lies unread
-    bed.run(lambda: len(owner.said(Kind.ANSWER)) == 2)
+    bed.run(lambda: len(owner.received(Kind.ANSWER)) == 2)
     assert bed.service.tasks._report.counts["dial.setup"] == 2
-    machine.conns[0].say(release(asked.id, 16))
-    bed.run(lambda: len(owner.said(Kind.RELEASE)) == 2)
+    machine.conns[0].send(release(asked.id, 16))
+    bed.run(lambda: len(owner.received(Kind.RELEASE)) == 2)
     bed.run(span_ns=1_940 * MS)
     later = Offer(99, 0, "m0", bed.setup("bill"), bed.clock.now_ns(), bed.clock.now_ns() + S, False)
     link, now = bed.service.links.get("m0"), bed.clock.now_ns()
@@ -268,15 +268,15 @@
     (line,) = bed.service.links.get("m0").conns
     line.last_used_ns -= 1_960 * MS
     dials = bed.service.tasks._report.counts["dial.setup"]
-    stand(bed, owner, "bill")  # its close may come at any moment
+    place_task(bed, owner, "bill")  # its close may come at any moment
     assert bed.service.tasks._report.counts["dial.setup"] == dials + 1
 
 
 def test_dials_that_never_come_up_cost_no_request_its_life_and_no_machine_its_tasks(beds: Any) -> None:
     # Guards against three slow dials that use up the attempts of a request with seconds left.
-    bed = beds(yes, yes, yes, yes, yes)
+    bed = beds(accept_all, accept_all, accept_all, accept_all, accept_all)
     owner = Owner(bed)
-    tasks = [stand(bed, owner) for _ in range(10)]
+    tasks = [place_task(bed, owner) for _ in range(10)]
     with_tasks = {machine.name for machine in bed.machines if machine.conns}
     full = [dead_port() for _ in bed.machines[:4]]
     for machine, (port, _) in zip(bed.machines[:4], full, strict=True):
@@ -287,26 +287,26 @@
     unsafe = bed.setup("bill", left=3000)
     last = bed.machines[4]
     bed.service.take(decode_event(json.dumps(event(2, last.row("draining"))).encode()))
-    owner.say(unsafe)
+    owner.send(unsafe)
     bed.run(span_ns=1_200 * MS)
-    assert not owner.said(Kind.RELEASE)
+    assert not owner.received(Kind.RELEASE)
     bed.service.take(decode_event(json.dumps(event(3, last.row())).encode()))
-    bed.run(lambda: [m for m in owner.said(Kind.ANSWER) if m.id == unsafe.id], span_ns=1_500 * MS)
-    assert [m.name for m, message in bed.heard if message.id == unsafe.id] == ["m4"]
-    assert not owner.said(Kind.RELEASE) and with_tasks and tasks
+    bed.run(lambda: [m for m in owner.received(Kind.ANSWER) if m.id == unsafe.id], span_ns=1_500 * MS)
+    assert [m.name for m, message in bed.machine_messages if message.id == unsafe.id] == ["m4"]
+    assert not owner.received(Kind.RELEASE) and with_tasks and tasks
     for _, socks in full:
         for sock in socks:
             sock.close()
 
 
 def test_a_connection_that_comes_up_after_its_dial_was_given_up_carries_nothing(beds: Any) -> None:
-    bed = beds(yes)
+    bed = beds(accept_all)
     port, socks = dead_port()
     bed.service.links.get("m0").address = port
     owner, asked = Owner(bed), bed.setup(left=200)
-    owner.say(asked)
+    owner.send(asked)
     bed.run(span_ns=600 * MS)
-    assert [m.cause for m in owner.said(Kind.RELEASE)] == [42]
+    assert [m.cause for m in owner.received(Kind.RELEASE)] == [42]
     for sock in socks[1:]:
         sock.close()
     socks[0].setblocking(False)
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -15,9 +15,9 @@
 
 from ladderhub.lab.ports import free_port, own_host
 from ladderhub.signalling import Kind, Message, encode_line
-from tests.platform.bed import HARMLESS
+from tests.platform.bed import NEVER_RAN_CAUSES
 from tests.platform.bed import Owner, S
-from tests.platform.bed import never, release, settings
+from tests.platform.bed import ignore_all, release, settings
 
 ROOT = Path(__file__).parents[2]
 
@@ -35,24 +35,24 @@
 
 
 def test_after_sigterm_set_ups_are_served_for_as_long_as_they_may_come_and_then_refused(beds: Any) -> None:
-    bed = beds(never)
+    bed = beds(ignore_all)
     owner, late = Owner(bed), bed.setup()
     first, second = bed.setup(left=3000), bed.setup(left=3000)
-    owner.say(first)
-    bed.run(lambda: bed.heard)
+    owner.send(first)
+    bed.run(lambda: bed.machine_messages)
     bed.service.stop()
-    owner.say(Message(Kind.PING, "0" * 16, 0), second)
-    bed.run(lambda: len(bed.machines[0].got(Kind.SETUP)) == 2)
-    assert owner.said(Kind.PONG)[0].cause == 0
+    owner.send(Message(Kind.PING, "0" * 16, 0), second)
+    bed.run(lambda: len(bed.machines[0].received(Kind.SETUP)) == 2)
+    assert owner.received(Kind.PONG)[0].cause == 0
     bed.run(span_ns=S)
-    owner.say(late)
-    bed.run(lambda: owner.said(Kind.RELEASE))
-    assert [(m.id, m.cause) for m in owner.said(Kind.RELEASE)] == [(late.id, 42)]
+    owner.send(late)
+    bed.run(lambda: owner.received(Kind.RELEASE))
+    assert [(m.id, m.cause) for m in owner.received(Kind.RELEASE)] == [(late.id, 42)]
     assert not [row for row in bed.logged if row["event"] == "stopped"]
     for id in (first.id, second.id):
-        bed.machines[0].conns[0].say(release(id, 34))
+        bed.machines[0].conns[0].send(release(id, 34))
     bed.run(span_ns=3 * S)
-    assert len(owner.said(Kind.RELEASE)) == 3 and owner.closed
+    assert len(owner.received(Kind.RELEASE)) == 3 and owner.closed
     assert [row for row in bed.logged if row["event"] == "stopped"]
 
 
@@ -73,7 +73,7 @@
             child.send_signal(number)
         sock.sendall(encode_line(Message(Kind.SETUP, "a" * 16, None, "x", fields)))
         row = json.loads(lines.readline())
-        assert (row["type"], row["id"], row["cause"] in HARMLESS) == ("release", "a" * 16, True)
+        assert (row["type"], row["id"], row["cause"] in NEVER_RAN_CAUSES) == ("release", "a" * 16, True)
         assert lines.readline() == b""
     assert child.wait(20) == 0
     child.stderr.close()
--- a/tests/platform/test_setups.py
+++ b/tests/platform/test_setups.py
@@ -9,51 +9,51 @@
 
 from ladderhub.signalling import Code, Kind, Message
 from ladderhub.signalling.journal import decode_event
-from tests.platform.bed import HARMLESS
+from tests.platform.bed import NEVER_RAN_CAUSES
 from tests.platform.bed import MS, MachineConn, Owner, S
-from tests.platform.bed import event, never, release, stand, yes
+from tests.platform.bed import accept_all, event, ignore_all, place_task, release
 
 
 def test_a_set_up_goes_on_unchanged_and_its_answer_comes_back_unchanged(beds: Any) -> None:
-    bed = beds(yes)
+    bed = beds(accept_all)
     owner = Owner(bed)
-    owner.say(Message(Kind.PING, "0" * 16, 0))
-    asked = stand(bed, owner)
-    assert owner.said(Kind.PONG)[0].cause == 1
-    (sent,) = bed.machines[0].got(Kind.SETUP)
+    owner.send(Message(Kind.PING, "0" * 16, 0))
+    asked = place_task(bed, owner)
+    assert owner.received(Kind.PONG)[0].cause == 1
+    (sent,) = bed.machines[0].received(Kind.SETUP)
     assert (sent.id, sent.description) == (asked.id, asked.description)
     assert (sent.values[Code.CLASS], sent.values[Code.KEY]) == ("web", asked.fields["key"])
     assert 0 < int(sent.values[Code.WAIT]) <= 2000
-    assert owner.said(Kind.ANSWER)[0].description == f"runs {asked.id}\r\n"
-    bed.machines[0].conns[0].say(release(asked.id, 16))
-    bed.run(lambda: owner.said(Kind.RELEASE))
+    assert owner.received(Kind.ANSWER)[0].description == f"runs {asked.id}\r\n"
+    bed.machines[0].conns[0].send(release(asked.id, 16))
+    bed.run(lambda: owner.received(Kind.RELEASE))
     bed.run()
-    assert [(m.id, m.cause) for m in owner.said(Kind.RELEASE)] == [(asked.id, 16)]
+    assert [(m.id, m.cause) for m in owner.received(Kind.RELEASE)] == [(asked.id, 16)]
     assert bed.service.tasks.find(asked.id) is None
 
 
 def test_an_owner_that_gives_up_hears_nothing_and_the_machine_is_released(beds: Any) -> None:
     # Guards the crossing of a give-up and an answer: what the machine started must not stand on.
-    bed = beds(never)
+    bed = beds(ignore_all)
     owner, asked = Owner(bed), bed.setup()
-    owner.say(asked)
-    bed.run(lambda: bed.machines[0].got(Kind.SETUP))
-    owner.say(Message(Kind.RELEASE, asked.id, 16))
-    bed.run(lambda: bed.machines[0].got(Kind.RELEASE))
-    bed.machines[0].conns[0].say(Message(Kind.ANSWER, asked.id, None, "runs"))
-    bed.run(lambda: len(bed.machines[0].got(Kind.RELEASE)) == 2)
+    owner.send(asked)
+    bed.run(lambda: bed.machines[0].received(Kind.SETUP))
+    owner.send(Message(Kind.RELEASE, asked.id, 16))
+    bed.run(lambda: bed.machines[0].received(Kind.RELEASE))
+    bed.machines[0].conns[0].send(Message(Kind.ANSWER, asked.id, None, "runs"))
+    bed.run(lambda: len(bed.machines[0].received(Kind.RELEASE)) == 2)
     bed.run()
-    assert owner.got == [] and bed.service.tasks.find(asked.id) is None
+    assert owner.messages == [] and bed.service.tasks.find(asked.id) is None
     many = [bed.setup() for _ in range(200)]
-    owner.say(*(m for asked in many for m in (asked, Message(Kind.RELEASE, asked.id, 16))))
+    owner.send(*(m for asked in many for m in (asked, Message(Kind.RELEASE, asked.id, 16))))
     bed.run(span_ns=S)
-    assert owner.got == [] and not bed.module().tasks
-    bed.machines[0].heard.clear()
+    assert owner.messages == [] and not bed.module().tasks
+    bed.machines[0].messages.clear()
     gone = bed.setup()
-    owner.say(gone)
-    bed.run(lambda: bed.machines[0].got(Kind.SETUP))
+    owner.send(gone)
+    bed.run(lambda: bed.machines[0].received(Kind.SETUP))
     owner.stream.abort()  # the same, where the connection ends instead
-    bed.run(lambda: [m.id for m in bed.machines[0].got(Kind.RELEASE)].count(gone.id) == 1)
+    bed.run(lambda: [m.id for m in bed.machines[0].received(Kind.RELEASE)].count(gone.id) == 1)
 
 
 @pytest.mark.parametrize("how", ["reset", "noise", "3 GB", "half", "silence", "47", "41", "16", "99"])
@@ -73,29 +73,29 @@
             conn.stream.write(b"\x00\x40\x09")
             conn.stream.close()
         elif how != "silence":
-            conn.say(release(message.id, int(how)))
+            conn.send(release(message.id, int(how)))
 
     bed = beds(break_off, break_off)
     owner, asked = Owner(bed), bed.setup("bill")
-    owner.say(asked)
-    bed.run(lambda: bed.heard)
+    owner.send(asked)
+    bed.run(lambda: bed.machine_messages)
     bed.run(span_ns=2100 * MS)
-    assert [m.cause in HARMLESS for m in owner.said(Kind.RELEASE)] == [False]
-    assert sum(len(machine.got(Kind.SETUP)) for machine in bed.machines) == 1
+    assert [m.cause in NEVER_RAN_CAUSES for m in owner.received(Kind.RELEASE)] == [False]
+    assert sum(len(machine.received(Kind.SETUP)) for machine in bed.machines) == 1
 
 
 @pytest.mark.parametrize("cause", [34, 102])
 def test_what_never_ran_goes_on_to_the_next_machine(beds: Any, cause: int) -> None:
     def full(conn: MachineConn, message: Message) -> None:
         if message.kind is Kind.SETUP:
-            conn.say(release(message.id, cause, "no_cores"))
+            conn.send(release(message.id, cause, "no_cores"))
 
-    bed = beds(full, full, yes)
+    bed = beds(full, full, accept_all)
     bed.machines[1].die()  # a refused connection proves the same
     owner = Owner(bed)
     for _ in range(6):
-        stand(bed, owner, "bill")
-    assert len(bed.machines[2].got(Kind.SETUP)) == 6 and not owner.said(Kind.RELEASE)
+        place_task(bed, owner, "bill")
+    assert len(bed.machines[2].received(Kind.SETUP)) == 6 and not owner.received(Kind.RELEASE)
 
 
 def test_no_two_attempts_are_out_and_the_module_s_refusal_leaves_at_once(beds: Any) -> None:
@@ -109,14 +109,15 @@
 
     def say_full(conn: MachineConn, message: Message) -> None:
         out.remove(message.id)
-        conn.say(release(message.id, 34, "no_memory"))
+        conn.send(release(message.id, 34, "no_memory"))
 
     bed = beds(full, full, full)
     owner, asked = Owner(bed), bed.setup()
-    owner.say(asked)
-    bed.run(lambda: owner.said(Kind.RELEASE))  # the clock stands: three refusals are all that may be tried
-    assert owner.said(Kind.RELEASE)[0].cause in HARMLESS
-    assert sum(len(machine.got(Kind.SETUP)) for machine in bed.machines) == 3
+    owner.send(asked)
+    # the clock stands: three refusals are all that may be tried
+    bed.run(lambda: owner.received(Kind.RELEASE))
+    assert owner.received(Kind.RELEASE)[0].cause in NEVER_RAN_CAUSES
+    assert sum(len(machine.received(Kind.SETUP)) for machine in bed.machines) == 3
 
 
 @pytest.mark.parametrize("handshake", [0.0, 0.01])  # where it is priced, set-ups share connections
@@ -130,58 +131,58 @@
             return
         came.append(conn)
         if len(came) == 1:
-            conn.say(release(message.id, 16))
+            conn.send(release(message.id, 16))
         elif len(came) == 2:
-            came[0].say(release(message.id, 16))
+            came[0].send(release(message.id, 16))
 
     bed = beds(ends_twice, handshake=handshake)
     owner, asked = Owner(bed), bed.setup()
-    owner.say(asked)
+    owner.send(asked)
     bed.run(lambda: len(came) == 2)
     bed.run(span_ns=300 * MS)
-    assert len(came) == 2 and not owner.said(Kind.RELEASE)
-    came[1].say(Message(Kind.ANSWER, asked.id, None, "runs\r\n"))
-    bed.run(lambda: owner.said(Kind.ANSWER))
+    assert len(came) == 2 and not owner.received(Kind.RELEASE)
+    came[1].send(Message(Kind.ANSWER, asked.id, None, "runs\r\n"))
+    bed.run(lambda: owner.received(Kind.ANSWER))
 
 
 def test_an_attempt_out_of_time_is_given_up_before_the_next_and_its_late_answer_is_ended(beds: Any) -> None:
     # Guards against two attempts out at once, and against a copy that nobody waits for.
-    bed = beds(never, never)
+    bed = beds(ignore_all, ignore_all)
     owner, asked = Owner(bed), bed.setup(left=9000)
-    owner.say(asked)
-    bed.run(lambda: bed.heard)
-    first = bed.heard[0][0]
+    owner.send(asked)
+    bed.run(lambda: bed.machine_messages)
+    first = bed.machine_messages[0][0]
     for machine in bed.machines:
-        machine.script = never if machine is first else yes
+        machine.script = ignore_all if machine is first else accept_all
     bed.run(span_ns=5 * S)
-    assert [(machine is first, m.kind) for machine, m in bed.heard if m.kind is not Kind.PING] == [
+    assert [(machine is first, m.kind) for machine, m in bed.machine_messages if m.kind is not Kind.PING] == [
         (True, Kind.SETUP), (True, Kind.RELEASE), (False, Kind.SETUP)
     ]  # fmt: skip
     if first.conns:  # the answer crosses the give-up
-        first.conns[0].say(Message(Kind.ANSWER, asked.id, None, "late"))
+        first.conns[0].send(Message(Kind.ANSWER, asked.id, None, "late"))
     bed.run(span_ns=S // 4)
-    assert [m.description for m in owner.got] == [f"runs {asked.id}\r\n"]
+    assert [m.description for m in owner.messages] == [f"runs {asked.id}\r\n"]
 
 
 def test_a_spoilt_answer_ends_one_set_up_and_more_than_belongs_to_it_ends_none(beds: Any) -> None:
     def odd(conn: MachineConn, message: Message) -> None:
         if message.kind is Kind.SETUP:
             answer = Message(Kind.ANSWER, message.id, None, f"runs {message.id}")
-            conn.say(Message(Kind.ANSWER, "f" * 16, None, "whose?"), answer, answer)
+            conn.send(Message(Kind.ANSWER, "f" * 16, None, "whose?"), answer, answer)
 
     bed = beds(odd)
     owner = Owner(bed)
-    asked = [stand(bed, owner) for _ in range(3)]
+    asked = [place_task(bed, owner) for _ in range(3)]
     bed.run()
-    assert [m.id for m in owner.said(Kind.ANSWER)] == [m.id for m in asked]
-    assert not bed.machines[0].got(Kind.RELEASE) and not owner.said(Kind.RELEASE)
-    bed.machines[0].script = never
+    assert [m.id for m in owner.received(Kind.ANSWER)] == [m.id for m in asked]
+    assert not bed.machines[0].received(Kind.RELEASE) and not owner.received(Kind.RELEASE)
+    bed.machines[0].script = ignore_all
     open_one = bed.setup()
-    owner.say(open_one)
-    bed.run(lambda: len(bed.machines[0].got(Kind.SETUP)) == 4)
+    owner.send(open_one)
+    bed.run(lambda: len(bed.machines[0].received(Kind.SETUP)) == 4)
     bed.machines[0].conns[-1].stream.write(b"\xff" * 30)
     bed.run(span_ns=100 * MS)
-    assert {m.id for m in owner.said(Kind.RELEASE)} <= {open_one.id}  # those that stand go on standing
+    assert {m.id for m in owner.received(Kind.RELEASE)} <= {open_one.id}  # those that stand go on standing
 
 
 @pytest.mark.parametrize("sockets", [48, 256])
@@ -190,25 +191,25 @@
 ) -> None:
     # Guards against set-ups that are lost or answered late when machines say nothing and more is asked than
     # there are connections to be had.
-    bed = beds(never, never, sockets=sockets, handshake=0.08)
+    bed = beds(ignore_all, ignore_all, sockets=sockets, handshake=0.08)
     owner = Owner(bed)
     asked = [bed.setup(klass, cores=0.1, memory=0.1) for klass in ("bill", "web") for _ in range(100)]
-    owner.say(*asked)
+    owner.send(*asked)
     bed.run(span_ns=1_900 * MS)
     bed.run(span_ns=100 * MS)
-    bed.run(lambda: len(owner.said(Kind.RELEASE)) == len(asked))  # the clock stands at the deadline
+    bed.run(lambda: len(owner.received(Kind.RELEASE)) == len(asked))  # the clock stands at the deadline
     bed.run()
-    assert sorted(m.id for m in owner.said(Kind.RELEASE)) == sorted(m.id for m in asked)
-    assert not owner.said(Kind.ANSWER) and bed.service.tasks.open == 0
+    assert sorted(m.id for m in owner.received(Kind.RELEASE)) == sorted(m.id for m in asked)
+    assert not owner.received(Kind.ANSWER) and bed.service.tasks.open == 0
 
 
 @pytest.mark.parametrize("meanwhile", ["drain", "given up", "out of time"])
 def test_a_set_up_that_waits_for_its_connection_does_not_leave_when_it_may_no_more(
     beds: Any, meanwhile: str
 ) -> None:
-    bed = beds(yes)
+    bed = beds(accept_all)
     owner, asked = Owner(bed), bed.setup()
-    owner.say(asked)
+    owner.send(asked)
     bed.run(lambda: bed.service.links.connection_count)  # dialled, and not up before the loop turns again
     if meanwhile == "drain":
         bed.service.take(decode_event(json.dumps(event(2, bed.machines[0].row("draining"))).encode()))
@@ -217,33 +218,33 @@
     else:
         bed.clock.advance(2 * S)
     bed.run(span_ns=S // 2)
-    assert not bed.heard and bed.service.tasks.open == (meanwhile == "drain")
+    assert not bed.machine_messages and bed.service.tasks.open == (meanwhile == "drain")
 
 
 def test_the_time_that_a_set_up_lay_unread_is_taken_from_its_time(beds: Any) -> None:
     # Guards against answers that come too late for their owner, who counts from when the set-up was sent.
-    bed = beds(yes)
+    bed = beds(accept_all)
     owner = Owner(bed)
-    stand(bed, owner)
+    place_task(bed, owner)
     bed.loop.turn(0)
-    owner.say(bed.setup(left=2000))
+    owner.send(bed.setup(left=2000))
     bed.clock.advance(300 * MS)
-    bed.run(lambda: len(bed.machines[0].got(Kind.SETUP)) == 2)
-    assert int(bed.machines[0].got(Kind.SETUP)[1].values[Code.WAIT]) <= 1700
+    bed.run(lambda: len(bed.machines[0].received(Kind.SETUP)) == 2)
+    assert int(bed.machines[0].received(Kind.SETUP)[1].values[Code.WAIT]) <= 1700
 
 
 def test_long_service_leaves_nothing_behind(beds: Any) -> None:
     # Guards against growth while ids and connections are always new.
     def brief(conn: MachineConn, message: Message) -> None:
         if message.kind is Kind.SETUP:
-            conn.say(Message(Kind.ANSWER, message.id, None, "runs"), release(message.id, 16))
+            conn.send(Message(Kind.ANSWER, message.id, None, "runs"), release(message.id, 16))
 
     bed = beds(brief)
     for _ in range(60):
         owner = Owner(bed)
         asked = [bed.setup() for _ in range(5)]
-        owner.say(*asked)
-        bed.run(lambda owner=owner: len(owner.said(Kind.RELEASE)) == 5)
+        owner.send(*asked)
+        bed.run(lambda owner=owner: len(owner.received(Kind.RELEASE)) == 5)
         owner.stream.abort()
     bed.run(span_ns=12 * S)
     tasks, door = bed.service.tasks, bed.service.door
@@ -260,29 +261,29 @@
             return
         turn = int(message.id, 16) % 7
         if turn == 0:
-            conn.say(release(message.id, 34, "no_cores"))
+            conn.send(release(message.id, 34, "no_cores"))
         elif turn == 1:
-            conn.say(release(message.id, 47))
+            conn.send(release(message.id, 47))
         elif turn == 2:
             conn.stream.abort()
         elif turn != 3:  # 3 is left without an answer
-            conn.say(Message(Kind.ANSWER, message.id, None, "runs"))
+            conn.send(Message(Kind.ANSWER, message.id, None, "runs"))
             if turn == 4:
-                conn.say(release(message.id, 16))
+                conn.send(release(message.id, 16))
 
     bed = beds(mixed, mixed, mixed)
     owner, asked = Owner(bed), [bed.setup(service=f"{at:016x}") for at in range(42)]
-    owner.say(*asked)
+    owner.send(*asked)
     bed.run(span_ns=500 * MS)
-    owner.say(*(Message(Kind.RELEASE, m.id, 16) for m in asked if int(m.id, 16) % 7 == 5))
+    owner.send(*(Message(Kind.RELEASE, m.id, 16) for m in asked if int(m.id, 16) % 7 == 5))
     bed.run(span_ns=6 * S)
     stands: dict[str, set[str]] = {}
     for machine in bed.machines:
-        yes_to = {m.id for m in machine.got(Kind.SETUP) if int(m.id, 16) % 7 in (5, 6)}
+        yes_to = {m.id for m in machine.received(Kind.SETUP) if int(m.id, 16) % 7 in (5, 6)}
         stands[machine.name] = yes_to
-        ended = {m.id for m in machine.got(Kind.RELEASE)}
+        ended = {m.id for m in machine.received(Kind.RELEASE)}
         for id in sorted(yes_to & ended):
-            (machine.conns[0]).say(release(id, 31))
+            (machine.conns[0]).send(release(id, 31))
             stands[machine.name].discard(id)
     bed.run(span_ns=S)
     module = bed.module()
@@ -299,12 +300,12 @@
 ) -> None:
     from ladderhub.decide import Scheduler
 
-    bed = beds(yes)
+    bed = beds(accept_all)
     owner, asked = Owner(bed), bed.setup(left=800)
     monkeypatch.setattr(Scheduler, "_place", lambda *_: 1 / 0)
-    owner.say(asked)
+    owner.send(asked)
     bed.run(span_ns=S)
-    assert [m.id for m in owner.said(Kind.RELEASE)] == [asked.id]
-    assert owner.said(Kind.RELEASE)[0].cause not in HARMLESS
+    assert [m.id for m in owner.received(Kind.RELEASE)] == [asked.id]
+    assert owner.received(Kind.RELEASE)[0].cause not in NEVER_RAN_CAUSES
     assert [row for row in bed.logged if row["event"] == "trouble"]
     bed.logged.clear()
--- a/tests/platform/test_soak.py
+++ b/tests/platform/test_soak.py
@@ -51,23 +51,23 @@
 def lose_an_answer(played: Play) -> str:
     id = next(r.id for r in played.records.values() if not r.withdrawn)
     for owner in [*played.owners, *played.gone]:
-        owner.got = [message for message in owner.got if message.id != id]
+        owner.messages = [message for message in owner.messages if message.id != id]
     return f"{id}: no answer"
 
 
 def answer_twice(played: Play) -> str:
-    owner = next(each for each in played.owners if each.said(Kind.ANSWER))
-    answer = owner.said(Kind.ANSWER)[0]
-    owner.got.append(answer)
+    owner = next(each for each in played.owners if each.received(Kind.ANSWER))
+    answer = owner.received(Kind.ANSWER)[0]
+    owner.messages.append(answer)
     return f"{answer.id}: 2 answers"
 
 
 def keep_an_end(played: Play) -> str:
-    told = [m.id for owner in played.owners for m in owner.said(Kind.ANSWER)]
+    told = [m.id for owner in played.owners for m in owner.received(Kind.ANSWER)]
     record = next(r for r in played.records.values() if r.id in told and not r.withdrawn)
     record.ended = True
     for owner in [*played.owners, *played.gone]:
-        owner.got = [m for m in owner.got if (m.id, m.kind) != (record.id, Kind.RELEASE)]
+        owner.messages = [m for m in owner.messages if (m.id, m.kind) != (record.id, Kind.RELEASE)]
     return f"{record.id}: its end was not told"
 
 
@@ -78,7 +78,7 @@
 
 
 def leave_standing(played: Play) -> str:
-    told = [m.id for owner in played.owners for m in owner.said(Kind.ANSWER)]
+    told = [m.id for owner in played.owners for m in owner.received(Kind.ANSWER)]
     record = next(r for r in played.records.values() if r.id in told and len(r.accepted) == 1)
     record.withdrawn, record.cancelled_ns = True, played.terminated_ns - 2 * soak.CUT_NS
     played.standing[record.id] = (played.bed.machines[0], MachineConn.__new__(MachineConn))
@@ -95,9 +95,9 @@
     try:
         owner = played.owners[0]
         played._ask(owner, 1)
-        played.bed.run(lambda: owner.got)
-        heard = next(machine for machine in played.bed.machines if machine.got(Kind.SETUP))
-        conn, message = heard.conns[0], heard.got(Kind.SETUP)[0]
+        played.bed.run(lambda: owner.messages)
+        heard = next(machine for machine in played.bed.machines if machine.received(Kind.SETUP))
+        conn, message = heard.conns[0], heard.received(Kind.SETUP)[0]
         played._turn(soak_service.LOOKS)
         played.forbidden_ns[heard.name] = played.looks_ns[0] + 1
         played._hear(conn, message)
@@ -117,11 +117,11 @@
     try:
         played.run()
         assert played.faults() == []
-        kept: Any = [list(owner.got) for owner in (*played.owners, *played.gone)]
+        kept: Any = [list(owner.messages) for owner in (*played.owners, *played.gone)]
         for doctor in (answer_twice, lose_an_answer, keep_an_end, run_twice, leave_standing, end_badly):
             expected = doctor(played)
             assert expected in played.faults(), doctor.__name__
             for owner, got in zip((*played.owners, *played.gone), kept, strict=True):
-                owner.got = list(got)
+                owner.messages = list(got)
     finally:
         played.bed.close()
--- a/tests/platform/test_stop.py
+++ b/tests/platform/test_stop.py
@@ -11,7 +11,17 @@
 
 from ladderhub.platform.service import STILL_COMING_NS, STOP_EARLY_NS, STOP_MOST_NS
 from ladderhub.signalling import Kind, Message, encode_line
-from tests.platform.bed import HARMLESS, MS, Bed, Owner, S, never, release, stand, yes
+from tests.platform.bed import (
+    MS,
+    NEVER_RAN_CAUSES,
+    Bed,
+    Owner,
+    S,
+    accept_all,
+    ignore_all,
+    place_task,
+    release,
+)
 
 BOUND_NS = STILL_COMING_NS + STOP_MOST_NS  # SIGKILL comes no sooner; the settings' longest deadline is longer
 
@@ -21,13 +31,13 @@
 
 
 def test_tests_that_wait_for_the_start_to_catch_up_are_failed_at_once(beds: Any) -> None:
-    bed = beds(yes, caught_up=False)
+    bed = beds(accept_all, caught_up=False)
     owner = Owner(bed)
-    owner.say(Message(Kind.PING, "0" * 16, 0))
+    owner.send(Message(Kind.PING, "0" * 16, 0))
     bed.run(lambda: bed.service.door._waiting)
     bed.service.stop()
-    bed.run(lambda: owner.said(Kind.PONG))
-    assert owner.said(Kind.PONG)[0].cause == 0
+    bed.run(lambda: owner.received(Kind.PONG))
+    assert owner.received(Kind.PONG)[0].cause == 0
     bed.run(lambda: stopped(bed), span_ns=S)
 
 
@@ -35,7 +45,7 @@
 def test_set_ups_unread_when_the_door_closes_are_served(beds: Any, accepted: bool) -> None:
     # Guards against closing over them: what was written to a connection that the kernel had up is taken, and
     # a listener that closes resets the connections it has not accepted.
-    bed = beds(yes)
+    bed = beds(accept_all)
     bed.service.stop()
     if accepted:
         owner = Owner(bed)
@@ -44,46 +54,46 @@
     if not accepted:
         owner = Owner(bed)
     asked = bed.setup()
-    owner.say(asked)
+    owner.send(asked)
     bed.service._settle()
-    bed.run(lambda: owner.said(Kind.ANSWER))
+    bed.run(lambda: owner.received(Kind.ANSWER))
     with pytest.raises(OSError):
-        socket.create_connection(bed.door).close()
+        socket.create_connection(bed.owner_address).close()
     bed.run(span_ns=200 * MS)
     assert stopped(bed) and owner.closed
 
 
 def test_an_end_that_its_owner_has_not_heard_is_told_before_the_process_ends(beds: Any) -> None:
-    bed = beds(yes)
-    first, other = Owner(bed, polite=False), Owner(bed, polite=False)
-    asked = stand(bed, first)
-    stand(bed, other)
+    bed = beds(accept_all)
+    first, other = Owner(bed, acknowledges=False), Owner(bed, acknowledges=False)
+    asked = place_task(bed, first)
+    place_task(bed, other)
     bed.service.stop()
     bed.run(span_ns=STILL_COMING_NS + 20 * MS)
     # Nothing is open, so the next look would end it; then a task ends, and its own connection goes.
-    bed.machines[0].conns[0].say(release(asked.id, 16))
-    bed.run(lambda: first.said(Kind.RELEASE))
+    bed.machines[0].conns[0].send(release(asked.id, 16))
+    bed.run(lambda: first.received(Kind.RELEASE))
     first.stream.abort()
-    bed.run(lambda: other.said(Kind.RELEASE))
+    bed.run(lambda: other.received(Kind.RELEASE))
     bed.run(span_ns=S)
     assert not stopped(bed)
-    other.say(Message(Kind.RELEASED, asked.id))
+    other.send(Message(Kind.RELEASED, asked.id))
     bed.run(span_ns=200 * MS)
     assert stopped(bed) and stopped(bed)[0]["ends"] == 0
 
 
 def test_an_end_unread_as_the_process_looks_whether_it_may_end_is_told(beds: Any) -> None:
     # Guards against ends closed over at the last look, as the process was behind.
-    bed = beds(yes)
+    bed = beds(accept_all)
     owner = Owner(bed)
-    asked = stand(bed, owner)
+    asked = place_task(bed, owner)
     bed.service.stop()
     bed.run(span_ns=STILL_COMING_NS - 20 * MS)
-    bed.machines[0].conns[0].say(release(asked.id, 16))
+    bed.machines[0].conns[0].send(release(asked.id, 16))
     bed.service._quiet = True  # the look before found that nothing was owed
     bed.service._look_settled()
     assert not stopped(bed)
-    bed.run(lambda: owner.said(Kind.RELEASE))
+    bed.run(lambda: owner.received(Kind.RELEASE))
     bed.run(span_ns=200 * MS)
     assert stopped(bed)
 
@@ -92,7 +102,7 @@
     beds: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Guards against closing over a set-up that came while connections to machines were being closed.
-    bed = beds(yes)
+    bed = beds(accept_all)
     owner, other = Owner(bed), Owner(bed)
     asked = bed.setup()
     bed.service.stop()
@@ -101,14 +111,14 @@
     bed.service._quiet = True  # the look before found that nothing was owed
 
     def ask_late() -> int:
-        owner.say(asked)
+        owner.send(asked)
         return 0
 
     monkeypatch.setattr(bed.service.links, "count_unsent", ask_late)
     bed.service._look_settled()
     monkeypatch.undo()
-    bed.run(lambda: owner.said(Kind.RELEASE))
-    assert owner.said(Kind.RELEASE)[0].cause in HARMLESS
+    bed.run(lambda: owner.received(Kind.RELEASE))
+    assert owner.received(Kind.RELEASE)[0].cause in NEVER_RAN_CAUSES
     bed.run(span_ns=200 * MS)
     assert stopped(bed) and owner.closed and other.closed
 
@@ -116,31 +126,31 @@
 @pytest.mark.parametrize("klass", ["web", "bill"])
 def test_what_is_open_when_time_is_up_is_answered_before_sigkill_may_come(beds: Any, klass: str) -> None:
     # The bound follows from the settings: the longest deadline, taken as 3 s where it is longer.
-    bed = beds(never)
+    bed = beds(ignore_all)
     owner, asked = Owner(bed), bed.setup(klass, left=8000 if klass == "web" else 3000)
     bed.service.stop()
     bed.run(span_ns=600 * MS)
-    owner.say(asked)
-    bed.run(lambda: bed.heard)
+    owner.send(asked)
+    bed.run(lambda: bed.machine_messages)
     begun = bed.clock.now_ns()
     bed.run(span_ns=BOUND_NS - 600 * MS - STOP_EARLY_NS - 40 * MS)
     if klass == "web":
-        assert not owner.got and not stopped(bed)
+        assert not owner.messages and not stopped(bed)
     bed.run(span_ns=STOP_EARLY_NS)
     assert bed.clock.now_ns() - begun < BOUND_NS - 600 * MS
-    (told,) = owner.said(Kind.RELEASE)
-    assert told.id == asked.id and (told.cause in HARMLESS) == (klass == "web")
+    (told,) = owner.received(Kind.RELEASE)
+    assert told.id == asked.id and (told.cause in NEVER_RAN_CAUSES) == (klass == "web")
     assert stopped(bed) and owner.closed
-    assert klass == "bill" or bed.machines[0].got(Kind.RELEASE)
+    assert klass == "bill" or bed.machines[0].received(Kind.RELEASE)
 
 
 def test_output_that_an_owner_has_not_taken_leaves_before_the_process_ends(beds: Any) -> None:
-    bed = beds(yes)
-    owner = Owner(bed, polite=False)
+    bed = beds(accept_all)
+    owner = Owner(bed, acknowledges=False)
     bed.run()
     (conn,) = bed.service.door._conns
     owner.stream.pause(True)
-    owner.say(Message(Kind.PING, "0" * 16, 0))
+    owner.send(Message(Kind.PING, "0" * 16, 0))
     while not conn.stream.unsent():
         conn.stream.write(encode_line(Message(Kind.PROGRESS, "0" * 16)) * 1000)
     bed.service.stop()
@@ -150,16 +160,16 @@
     bed.run(span_ns=500 * MS)
     assert stopped(bed) and stopped(bed)[0]["unsent"] == 0
     bed.run(lambda: owner.closed)  # megabytes wait in the kernel, of which a round reads a portion
-    assert owner.said(Kind.PONG) and not owner.reader.pending()
+    assert owner.received(Kind.PONG) and not owner.reader.pending()
 
 
 def test_a_second_signal_and_a_reload_between_do_not_end_it_sooner(
     beds: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    bed = beds(never)
+    bed = beds(ignore_all)
     owner, asked = Owner(bed), bed.setup(left=2000)
-    owner.say(asked)
-    bed.run(lambda: bed.heard)
+    owner.send(asked)
+    bed.run(lambda: bed.machine_messages)
     bed.service.stop()
     bed.run(span_ns=400 * MS)
     for name, value in bed.environment.items():
@@ -167,6 +177,6 @@
     bed.service.reload()
     bed.service.stop()
     bed.run(span_ns=400 * MS)
-    assert not owner.got and not stopped(bed)
+    assert not owner.messages and not stopped(bed)
     bed.run(span_ns=1_400 * MS)
-    assert len(owner.said(Kind.RELEASE)) == 1 and stopped(bed)
+    assert len(owner.received(Kind.RELEASE)) == 1 and stopped(bed)
--- a/tests/platform/test_waited.py
+++ b/tests/platform/test_waited.py
@@ -10,7 +10,7 @@
 import pytest
 
 from ladderhub.signalling import Code, Kind, Message
-from tests.platform.bed import MS, START_NS, Bed, MachineConn, Owner, S, never, yes
+from tests.platform.bed import MS, START_NS, Bed, MachineConn, Owner, S, accept_all, ignore_all
 
 CALLERS = 300  # several times as many as are accepted in a round
 LEFT_MS = 3000
@@ -20,15 +20,15 @@
 
 def passed_on_ms(bed: Bed) -> list[int]:
     """The deadlines that machines were told."""
-    setups = [message for machine in bed.machines for message in machine.got(Kind.SETUP)]
+    setups = [message for machine in bed.machines for message in machine.received(Kind.SETUP)]
     return [int(message.values[Code.WAIT]) for message in setups]
 
 
 def test_each_caller_is_charged_how_long_it_waited_to_be_accepted(beds: Any) -> None:
     # Guards against requests answered after their time, as only the first round's callers were charged.
-    bed = beds(*[never] * 8, sockets=2048)
+    bed = beds(*[ignore_all] * 8, sockets=2048)
     for _ in range(CALLERS):
-        Owner(bed).say(bed.setup("bill", left=2000, cores=0.01, memory=0.01))
+        Owner(bed).send(bed.setup("bill", left=2000, cores=0.01, memory=0.01))
     bed.clock.advance(700 * MS)
     bed.run(lambda: len(passed_on_ms(bed)) == CALLERS)
     assert max(passed_on_ms(bed)) <= 2000 - 700 + SLACK_MS
@@ -36,31 +36,31 @@
 
 def test_a_caller_is_not_charged_for_a_crowd_that_was_accepted_before_it(beds: Any) -> None:
     # Guards against set-ups refused over a wait that was others'.
-    bed = beds(*[yes] * 8, sockets=2048)
+    bed = beds(*[accept_all] * 8, sockets=2048)
     for _ in range(CALLERS):
         Owner(bed)
     bed.clock.advance(S)
     bed.run(lambda: bed.service.door.count() == CALLERS)
-    Owner(bed).say(bed.setup(left=2000))
+    Owner(bed).send(bed.setup(left=2000))
     bed.run(lambda: passed_on_ms(bed))
     assert min(passed_on_ms(bed)) >= 2000 - 2 * SLACK_MS
 
 
 def test_a_first_set_up_is_not_charged_the_time_since_its_caller_connected(beds: Any) -> None:
     # Guards against set-ups refused at once, since their connection had rested before.
-    bed = beds(yes)
+    bed = beds(accept_all)
     owner = Owner(bed)
     bed.run(span_ns=2 * S)
-    owner.say(bed.setup(left=1500))
-    bed.run(lambda: owner.got)
-    assert owner.said(Kind.ANSWER) and min(passed_on_ms(bed)) >= 1500 - SLACK_MS
+    owner.send(bed.setup(left=1500))
+    bed.run(lambda: owner.messages)
+    assert owner.received(Kind.ANSWER) and min(passed_on_ms(bed)) >= 1500 - SLACK_MS
 
 
 def test_a_first_set_up_is_charged_its_accept_though_the_next_look_takes_long(
     beds: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Guards against a look that waits for a processor, taken for one that waited for the set-up.
-    bed = beds(never)
+    bed = beds(ignore_all)
     selector = bed.loop._selector
     select = selector.select
 
@@ -71,7 +71,7 @@
 
     monkeypatch.setattr(selector, "select", select_slowly)
     monkeypatch.setattr(bed.service.door, "unseen_since_ns", lambda: bed.clock.now_ns() - 700 * MS)
-    Owner(bed).say(bed.setup("bill", left=2000))
+    Owner(bed).send(bed.setup("bill", left=2000))
     bed.run(lambda: passed_on_ms(bed))
     assert max(passed_on_ms(bed)) <= 2000 - 700 + SLACK_MS
 
@@ -80,9 +80,9 @@
     beds: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Guards against a pause between two looks at the clock, by which the module takes a deadline for later.
-    bed = beds(never)
+    bed = beds(ignore_all)
     owner, asked = Owner(bed), bed.setup("web", left=500)
-    owner.say(asked)
+    owner.send(asked)
     tasks = bed.service.tasks
     place = tasks.placing._place
 
@@ -93,12 +93,12 @@
 
     tasks.placing._place = place_slowly
     bed.run(span_ns=S)
-    assert [each.cause for each in owner.said(Kind.RELEASE)] and bed.clock.now_ns() > START_NS
+    assert [each.cause for each in owner.received(Kind.RELEASE)] and bed.clock.now_ns() > START_NS
     assert not [row for row in bed.logged if row["event"] == "unanswered"]
 
 
 def test_a_clock_that_moves_as_a_set_up_is_taken_makes_its_time_no_longer(beds: Any) -> None:
-    bed = beds(never)
+    bed = beds(ignore_all)
     tasks = bed.service.tasks
     take = tasks.take
 
@@ -107,7 +107,7 @@
         return take(*args)
 
     tasks.take = take_slowly
-    Owner(bed).say(bed.setup("bill", left=2000))
+    Owner(bed).send(bed.setup("bill", left=2000))
     bed.run(lambda: passed_on_ms(bed))
     assert max(passed_on_ms(bed)) <= 2000 - 400 + SLACK_MS
 
@@ -122,7 +122,7 @@
     def hear(conn: MachineConn, message: Message) -> None:
         if message.kind is Kind.SETUP:
             told_ms.setdefault(message.id, []).append(int(message.values[Code.WAIT]))
-            yes(conn, message)
+            accept_all(conn, message)
 
     bed = process_beds(*[hear] * 40, sockets=8192)
     for _ in range(REST_ROUNDS):
@@ -134,16 +134,16 @@
         asked = bed.setup(LEFT_MS)
         asked.fields["class"] = "bill"  # not repeated, so its attempts have all the time that is left
         owners.append(bed.owner())
-        owners[-1].say(asked)
+        owners[-1].send(asked)
         written_s[asked.id] = time.monotonic()
     until_s = time.monotonic() + 1
     while time.monotonic() < until_s:
         bed.loop.turn(MS)
     woken_s = time.monotonic()
     os.kill(bed.child.pid, signal.SIGCONT)
-    bed.run(lambda: all(owner.got for owner in owners))
-    assert all(owner.said(Kind.ANSWER) for owner in owners)
-    finals = [owner.said(Kind.ANSWER) + owner.said(Kind.RELEASE) for owner in owners]
+    bed.run(lambda: all(owner.messages for owner in owners))
+    assert all(owner.received(Kind.ANSWER) for owner in owners)
+    finals = [owner.received(Kind.ANSWER) + owner.received(Kind.RELEASE) for owner in owners]
     assert all(len(each) == 1 for each in finals) and not any(owner.closed for owner in owners)
     assert told_ms
     left_ms = {id: LEFT_MS - (woken_s - written_s[id]) * 1000 for id in told_ms}
