--- a/ladderhub/server/peers.py
+++ b/ladderhub/server/peers.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ladderhub.errors.tally import Spoilt
+from ladderhub.errors.tally import MalformedInputCount
 from ladderhub.interface import SeatShare
 from ladderhub.membership import (
     LeaseHolder,
@@ -49,7 +49,7 @@
         except FileNotFoundError:
             state = _PeerState()
         except msgspec.MsgspecError as fault:
-            raise SpoolError(str(fault), where=str(self._path), meant="what the scheduler left") from None
+            raise SpoolError(str(fault), where=str(self._path), expected="what the scheduler left") from None
         # Grows also where the wall clock was set back; saved before any peer learns of it.
         self.life = max(time.time_ns(), state.life + 1)
         self.peers = state.peers
@@ -84,7 +84,7 @@
     def _add_gauges(self) -> None:
         gauge = self._site.metrics.gauge
         gauge("members", "Schedulers in the view, this one among them", lambda: len(self.view.members()))
-        gauge("members_suspected", "Of those it watches", lambda: len(self.view.suspected()))
+        gauge("members_suspected", "Of those it watches", lambda: len(self.view.get_suspected_names()))
         gauge("membership_sure", "1 while peers confirm the view", lambda: float(self.is_confirmed()))
         gauge("peer_datagrams_spoilt", "Datagrams that were no message", self._spoilt_total)
         gauge("peer_datagrams_unsent", "Datagrams that the system did not take", self._unsent_total)
@@ -123,7 +123,7 @@
 
     def status_rows(self) -> list[Attr]:
         """Rows of the server's status."""
-        suspected = set(self.view.suspected())
+        suspected = set(self.view.get_suspected_names())
         shown = [f"{name} (suspected)" if name in suspected else name for name in self.member_names()]
         return [Attr("members", ", ".join(shown)), Attr("membership", self._state_word())]
 
@@ -153,7 +153,7 @@
             self._start_leases(carrier)
         life = self._state_file.life
         site.log.info("peers", life=life, address=settings.advertise, seeds=len(settings.seeds))
-        carrier.join(site.board.add(self.view, carrier))
+        carrier.join(site.dispatcher.register(self.view, carrier))
         site.loop.call_later(SAVE_INTERVAL_NS, self._save)
 
     def _start_leases(self, carrier: PeerCarrier) -> None:
@@ -162,7 +162,7 @@
         self.leases = LeaseHolder(self._lease_settings(), site.settings.file.seed, site.loop.now_ns())
         site.tell_module(SeatShare((), -1))
         carrier.on_leases, carrier.on_tick = self._on_leases, self._on_tick
-        self._tell_leases = site.board.add(self.leases, carrier)
+        self._tell_leases = site.dispatcher.register(self.leases, carrier)
         carrier.tell_leases = self._tell_leases
         site.metrics.gauge("seats_held", "Slots of the cold budget that may be used", self._usable_slots)
 
@@ -190,7 +190,9 @@
 
     def _usable_slots(self) -> float:
         return (
-            float(len(self.leases.usable(self._site.loop.now_ns()).slots)) if self.leases is not None else 0.0
+            float(len(self.leases.get_usable_leases(self._site.loop.now_ns()).slots))
+            if self.leases is not None
+            else 0.0
         )
 
     def stop(self, now: bool) -> None:
@@ -210,7 +212,7 @@
         """After a restart of the whole fleet the saved addresses are how it finds itself again."""
         if self._closed:
             return
-        peers = self.view.addresses()
+        peers = self.view.get_peer_addresses()
         if peers and peers != self._state_file.peers:
             self._state_file.save(peers)
         self._site.loop.call_later(SAVE_INTERVAL_NS, self._save)
@@ -219,5 +221,5 @@
         log = self._site.log.warning if change.change in _WARNED_CHANGES else self._site.log.info
         log("member", change=change.change.value, member=change.name, life=change.life, cause=change.cause)
 
-    def _log_spoilt(self, row: Spoilt) -> None:
+    def _log_spoilt(self, row: MalformedInputCount) -> None:
         self._site.log.warning("spoilt", kind=row.kind, peer=row.peer, count=row.count)
--- a/tests/platform/test_owners.py
+++ b/tests/platform/test_owners.py
@@ -196,7 +196,7 @@
     bed = beds(accept_all)
     owner = Owner(bed)
     asked = place_task(bed, owner)
-    bed.service.tasks.carry(bed.clock.now_ns(), Move(0))
+    bed.service.tasks.execute(bed.clock.now_ns(), Move(0))
     bed.run(lambda: bed.machines[0].received(Kind.RELEASE))
     bed.machines[0].conns[0].send(release(asked.id, 31))
     bed.run()
--- a/tests/server/test_settings_change.py
+++ b/tests/server/test_settings_change.py
@@ -12,7 +12,7 @@
 import structlog
 from structlog.testing import LogCapture
 
-from ladderhub.board import Board
+from ladderhub.dispatcher import EventDispatcher
 from ladderhub.interface import Effect
 from ladderhub.lab import tap
 from ladderhub.lab.auditor import audit
@@ -161,7 +161,7 @@
     # The later one was taken as safe and is placed anew; nobody can say whether the first one runs.
     world.until(lambda: world.row(second).get("exec_host").partition("/")[0] not in ("", node), 40)
     site = world.daemons["alpha"].site
-    state, why = site.owner.state(site.jobs.by_id[first].number)
+    state, why = site.owner.get_state(site.jobs.by_id[first].number)
     assert (state, world.row(first).get("run_count")) == ("running", "1") and "is not known" in why
 
 
@@ -265,7 +265,7 @@
         change(world, edit, number)
         if number == 6:
             world.crash("node-1")
-    world.until(lambda: not world.daemons["alpha"].owner.owes(), 40)
+    world.until(lambda: not world.daemons["alpha"].owner.count_unanswered(), 40)
     world.run_for(S)
     answers = [world.row(job).get("placement") for job in jobs]
     assert answers.count("placed") > len(jobs) // 2
@@ -282,22 +282,22 @@
         def handle(self, now_ns: int, event: str) -> list[str]:
             return [event]
 
-        def carry(self, now_ns: int, action: str) -> None:
+        def execute(self, now_ns: int, action: str) -> None:
             heard.append(action)
             if action == "change":
-                with board.one_turn():
+                with dispatcher.batch():
                     one("module")
                     two("owner")
             elif action == "module":
                 one("what the module caused")
 
-        def after(self, event: str) -> None:
+        def on_handled(self, event: str) -> None:
             return
 
-    board = Board(lambda: 0, lambda event, fault: None)
-    one, two = board.add(Part(), Part()), board.add(Part(), Part())
+    dispatcher = EventDispatcher(lambda: 0, lambda event, fault: None)
+    one, two = dispatcher.register(Part(), Part()), dispatcher.register(Part(), Part())
     one("change")
-    with board.one_turn():
+    with dispatcher.batch():
         two("a")
         one("b")
         assert heard[-1] != "b"
