--- a/ladderhub/platform/conn.py
+++ b/ladderhub/platform/conn.py
@@ -1,4 +1,4 @@
-"""A set-up on its way to a machine, the connection that it goes over, and who hears what becomes of it."""
+"""A set-up sent to a machine, the connection it is sent on, and the interfaces that receive its events."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 from ladderhub.platform.report import Report
 from ladderhub.signalling import BinaryReader, Leg, Message, SignalError
 
-CLOSE_LINGER_NS = 1_000_000_000  # for so long a connection that is leaving is still read
-MAX_REMEMBERED_TASKS = 256  # tasks whose set-ups a connection remembers
+CLOSE_LINGER_NS = 1_000_000_000  # a closing connection is still read for this long
+MAX_REMEMBERED_TASKS = 256  # task ids that a connection remembers
 
 
 @dataclass(frozen=True)
 class TaskEnd:
-    """How a machine ended a task that stood: the cause and the note of its release."""
+    """How a machine ended a running task: the cause and the note of its release."""
 
     cause: int | None
     note: str | None
 
 
 class Offer:
-    """One set-up to one machine, from the module's `Send` to its end."""
+    """One set-up sent to one machine, from the decision module's `Send` action to its end."""
 
     def __init__(
         self, number: int, attempt: int, machine: str, setup: Message, sent_ns: int, until_ns: int,
         repeatable: bool,
     ) -> None:  # fmt: skip
-        """`repeatable`: whatever becomes of it, it may be sent again."""
+        """`repeatable`: the set-up may be sent again, whatever became of this attempt."""
         self.number, self.attempt, self.machine = number, attempt, machine
         self.setup, self.id = setup, setup.id
         self.sent_ns, self.until_ns, self.repeatable = sent_ns, until_ns, repeatable
@@ -38,38 +38,38 @@
         self.timer: Timer | None = None
         self.conn: Conn | None = None
         self.written = self.started = False
-        self.early_end: TaskEnd | None = None  # told on another connection, before the answer was read
+        self.early_end: TaskEnd | None = None  # received on another connection before the answer was read
 
 
 class OfferListener(Protocol):
-    """Who hears of offers; each offer's end is told once."""
+    """Receives the events of offers; the end of each offer is reported exactly once."""
 
     def confirm_send(self, offer: Offer) -> bool:
-        """Asked as its bytes would leave, since a dial may lie behind it: is it still wanted, and allowed?
-        Where it is not, it has been given up when this returns."""
+        """Called just before the set-up is written, as a dial may have delayed it: whether it is still wanted
+        and allowed.  If not, the offer has been given up when this returns."""
 
     def on_answer(self, offer: Offer, description: str) -> None: ...
 
     def on_release(self, offer: Offer, cause: int | None, note: str | None) -> None:
-        """The machine's release, before or after its answer."""
+        """The machine sent a release, before or after its answer."""
 
     def on_note(self, offer: Offer, note: str | None, figure: float) -> None: ...
 
     def on_unreached(self, offer: Offer) -> None:
-        """No connection came up: nothing was written."""
+        """No connection could be opened, so nothing was written."""
 
     def on_unsent(self, offer: Offer) -> None:
-        """It was not written for another reason."""
+        """The set-up was not written for another reason."""
 
     def on_broken(self, offer: Offer, why: str) -> None:
-        """Its connection ended or was spoilt after it was written, or its machine is lost."""
+        """After it was written, its connection closed or received invalid data, or its machine was lost."""
 
     def on_overdue(self, offer: Offer) -> None:
-        """Its time is over; it was given up at the machine."""
+        """Its time ran out, and it was given up at the machine."""
 
 
 class ConnHandler(Protocol):
-    """The machine's side, to which a connection belongs."""
+    """The link to a machine, which its connections report to."""
 
     loop: Loop
     report: Report
@@ -78,12 +78,12 @@
     def on_message(self, conn: Conn, message: Message) -> None: ...
 
     def on_activity(self) -> None:
-        """Whatever it was, the machine said something."""
+        """Data of any kind arrived from the machine."""
 
     def on_closed(self, conn: Conn, fault: BaseException | None) -> None: ...
 
     def is_needed(self, conn: Conn) -> bool:
-        """Whether it is the only connection to standing tasks."""
+        """Whether it is the only connection to a machine that runs tasks."""
 
 
 class Conn:
@@ -92,26 +92,26 @@
     def __init__(self, link: ConnHandler) -> None:
         self.link = link
         self.reader = BinaryReader()
-        self.open_offers: dict[str, Offer] = {}  # set-ups without an answer, by task
+        self.open_offers: dict[str, Offer] = {}  # set-ups without an answer, by task id
         self.stream: Stream | None = None
-        self.reusable = True  # every set-up on it was ended by a whole message
+        self.reusable = True  # no set-up on it was given up, and the machine kept its address
         self.closing = False
-        self.closed_for_room = False  # closed for room: its machine is visited later
-        self.ping_timer: Timer | None = None  # runs while a test must pass before set-ups are written
-        self.last_used_ns = link.loop.now_ns()  # when anything last went over it
-        self._sent_tasks: dict[str, None] = {}  # tasks whose set-ups were written on it, oldest first
+        self.closed_for_room = False  # closed to free a descriptor: not dialled again at once
+        self.ping_timer: Timer | None = None  # runs while a ping must be answered before set-ups are written
+        self.last_used_ns = link.loop.now_ns()  # when it last sent or received anything
+        self._sent_tasks: dict[str, None] = {}  # ids of tasks whose set-ups were written on it, oldest first
 
     def record_sent(self, offer: Offer) -> None:
-        """The set-up of this offer goes over the connection."""
+        """Remember that the set-up of this offer is written on this connection."""
         self._sent_tasks[offer.id] = None
         if len(self._sent_tasks) > MAX_REMEMBERED_TASKS:
             del self._sent_tasks[next(iter(self._sent_tasks))]
 
     def can_carry(self, offer: Offer) -> bool:
-        """Whether no earlier attempt at the same task went over this connection.
+        """Whether no earlier attempt at the same task was written on this connection.
 
-        Danger: a machine may tell an end twice.  Attempts at a task share its id, so on one connection the
-        second telling would pass for the end of the next attempt, which is still out."""
+        A machine may report an end twice.  Attempts at a task share its id, so on one connection the second
+        report would be taken for the end of the next attempt, which is still open."""
         return offer.id not in self._sent_tasks
 
     def on_data(self, stream: Stream, data: bytes) -> None:
@@ -125,8 +125,8 @@
             stream.abort(unreadable)
 
     def _handle(self, message: Message) -> None:
-        """Danger: one that can't be used ends the connection, but behind it may lie whole ones that concern
-        other tasks, and their machine may not say them again soon."""
+        """Pass a message on.  An invalid one ends the connection, but only after what has arrived is read:
+        valid messages behind it concern other tasks, and the machine may not repeat them soon."""
         try:
             self.link.on_message(self, message)
         except SignalError as fault:
@@ -138,10 +138,10 @@
         self.link.report.line("machine.spoilt", machine=self.link.name, why=str(fault))
 
     def read_pending(self) -> None:
-        """Take what has come.
+        """Read and handle what has arrived.
 
-        Danger: a peer is judged by a span that is over, while its word lies here unread, since the process
-        stood still or is behind."""
+        Called before a timeout is acted on: the peer's message may lie here unread because this process was
+        paused or is behind."""
         if self.stream is not None:
             self.stream.read_now(READ_MOST)
 
@@ -154,8 +154,8 @@
     def is_writable(self) -> bool:
         """Whether a set-up may be written on it now.
 
-        Danger: what the peer does not take would lie in the stream's buffer and leave later, when it may be
-        forbidden."""
+        Not while earlier bytes are unsent: the set-up would wait in the stream's buffer and be sent later,
+        when it may no longer be allowed."""
         return (
             self.ping_timer is None
             and self.is_live()
@@ -164,11 +164,11 @@
         )
 
     def is_idle(self) -> bool:
-        """Nothing is open on it, and nothing has come that was not read yet."""
+        """Whether no set-up is open on it and no part of a message is left in its reader."""
         return not self.open_offers and self.is_live() and not self.reader.pending()
 
     def start_closing(self) -> None:
-        """Send nothing more; what the machine has on its way is still read, then it closes."""
+        """Send nothing more, read what the machine still sends for a while, then close."""
         if self.stream is not None and not self.closing and not self.stream.closed:
             self.closing = True
             self.stream.finish()
@@ -176,5 +176,5 @@
 
 
 def is_refused(fault: BaseException | None) -> bool:
-    """Whether a connection did not come up since nobody listens there."""
+    """Whether a connection failed because nothing listens at its address."""
     return isinstance(fault, OSError) and fault.errno == errno.ECONNREFUSED
--- a/ladderhub/platform/early_ends.py
+++ b/ladderhub/platform/early_ends.py
@@ -1,4 +1,4 @@
-"""Ends that are told before the task is handed over to this scheduler."""
+"""Ends of tasks that arrive before the task is handed over to this scheduler."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 
 from ladderhub.platform.liveness import RELEASE_DEADLINE_NS
 
-MAX_EARLY_ENDS = 16_384  # ends kept in all; the oldest go first
+MAX_EARLY_ENDS = 16_384  # ends kept in all; the oldest are dropped first
 
 Key = TypeVar("Key", bound=Hashable)
 Ending = TypeVar("Ending")
 
 
 class EarlyEnds(Generic[Key, Ending]):
-    """Ends of tasks that nobody here looks after, while their owners may be told."""
+    """Ends of tasks unknown to this scheduler, kept while they may still be reported to their owners."""
 
     def __init__(self) -> None:
         self._ends: dict[Key, tuple[int, Ending]] = {}
 
     def add(self, now_ns: int, key: Key, ending: Ending) -> None:
-        """Keep it for as long as an end may still be told."""
-        # Two of the oldest may go for each that comes, so that it empties by itself.
+        """Keep an end for as long as it may still be reported."""
+        # Each call drops up to two of the oldest entries, so expired ones are removed without a timer.
         for old, (at_ns, _) in list(islice(self._ends.items(), 2)):
             if now_ns - at_ns > RELEASE_DEADLINE_NS or len(self._ends) >= MAX_EARLY_ENDS:
                 del self._ends[old]
         self._ends[key] = (now_ns, ending)
 
     def take(self, now_ns: int, key: Key) -> Ending | None:
-        """The end that was told of this task, if one was."""
+        """Remove and return the end received for this task, if there is one that has not expired."""
         kept = self._ends.pop(key, None)
         if kept is None:
             return None
--- a/ladderhub/platform/link.py
+++ b/ladderhub/platform/link.py
@@ -1,4 +1,4 @@
-"""All that goes to one machine and comes from it: set-ups on their way out, and what stands there."""
+"""The link to one machine: the set-ups sent to it, the tasks that run there, and its connections."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from ladderhub.signalling import Cause, Code, Kind, Message, SignalError, State, Step, encode_binary
 from ladderhub.signalling.table import TEST_ASKED
 
-MAX_ENDED_ATTEMPTS = 256  # set-ups given up that are remembered for each machine, for an answer that crosses
+MAX_ENDED_ATTEMPTS = 256  # ids remembered for each machine, for messages that arrive late
 NO_ID = "0" * 16
 
 
 class Link:
-    """All that goes to one machine."""
+    """The connections to one machine, and all open set-ups and running tasks there."""
 
     def __init__(self, pool: ConnectionPool, name: str, address: Address) -> None:
         self.pool, self.name, self.address = pool, name, address
@@ -28,15 +28,15 @@
         self.ended_attempts: dict[str, None] = {}
         self.pending_releases = PendingReleases()
         self.liveness = Liveness(pool.loop.now_ns())
-        self.setups_blocked = False  # nothing new is written
-        self.removed = False  # not on the list: forgotten once nothing is open
+        self.setups_blocked = False  # no new set-up is written
+        self.removed = False  # no longer on the list: dropped once nothing is open
 
     def on_activity(self) -> None:
-        """The machine said something: it is there."""
+        """Data arrived from the machine, so it is alive."""
         self.liveness.record_heard(self.loop.now_ns())
 
     def set_address(self, address: Address) -> None:
-        """It is elsewhere now: nothing new goes over connections to where it was."""
+        """Use a new address: connections to the old one get no new set-ups."""
         self.address = address
         for conn in self.conns:
             conn.reusable = False
@@ -50,13 +50,14 @@
         conn = connection_choice.find_idle(self.conns, offer, now, self.pool.idle_timeout_ns)
         quiet = self.liveness.get_silence_ns(now) > PING_INTERVAL_NS
         if quiet and (self.running or self.liveness.unresponsive):
-            conn = None  # it has not answered a test or a dial: only a new connection tells whether it lives
+            conn = None  # it did not answer a ping or a dial: only a new connection shows whether it is alive
         if conn is not None and quiet:
-            # A test costs the machine less than a new connection, and shows as much before anything has left.
+            # A ping costs the machine less than a new connection, and shows as well that the machine is alive
+            # before the set-up is written.
             conn.ping_timer = loop.call_later(self.pool.connect_timeout_ns, self._on_ping_timeout, conn)
             self._send_message(conn, Message(Kind.PING, NO_ID, TEST_ASKED))
         if conn is None and self.pool.share_connections and offer.repeatable:
-            conn = connection_choice.find_shareable(self.conns, offer, heard=not quiet)
+            conn = connection_choice.find_shareable(self.conns, offer, recently_heard=not quiet)
         if conn is None and self.pool.make_room():
             conn = self.dial("setup")
         if conn is None:
@@ -70,7 +71,7 @@
         self._write_waiting(conn, offer)
 
     def _on_ping_timeout(self, conn: Conn) -> None:
-        """No test passed in the time that a new connection would have had to come up."""
+        """The ping was not answered within the time that a dial may take."""
         conn.read_pending()
         if conn.ping_timer is None:
             return
@@ -94,18 +95,18 @@
         self.pool.add_connected(conn)
         self._send_releases(conn)
         if self.running:
-            # A machine that was dialled again may have nothing to say, and would count as silent.
+            # A machine that was dialled again may have nothing to send, and would count as silent.
             self._send_message(conn, Message(Kind.PING, NO_ID, TEST_ASKED))
         self._write_waiting(conn)
 
     def _write_waiting(self, conn: Conn, only: Offer | None = None) -> None:
-        """Write what may leave now; with `only`, no other set-up than this."""
+        """Write the set-ups that may be written now; with `only`, just that one."""
         for offer in [only] if only is not None else list(conn.open_offers.values()):
             if not conn.is_writable():
                 return
-            # What is heard when it is asked for may end it, or others, or write them.
-            waits = conn.open_offers.get(offer.id) is offer and not offer.written
-            if waits and self.pool.listener.confirm_send(offer) and conn.is_writable():
+            # Confirming reads what has arrived, which may end this set-up or others, or write them.
+            waiting = conn.open_offers.get(offer.id) is offer and not offer.written
+            if waiting and self.pool.listener.confirm_send(offer) and conn.is_writable():
                 self._write(conn, offer)
 
     def _write(self, conn: Conn, offer: Offer) -> None:
@@ -128,7 +129,7 @@
         conn.stream.write(encode_binary(message))
 
     def _stop_waiting(self, offer: Offer) -> None:
-        """The set-up has no answer to come; its connection may be used for others or closed."""
+        """The set-up expects no answer any more; its connection may be used for others or closed."""
         if offer.timer is not None:
             offer.timer.cancel()
         conn = offer.conn
@@ -151,11 +152,11 @@
         (self.pool.listener.on_overdue if written else self.pool.listener.on_unsent)(offer)
 
     def give_up(self, offer: Offer) -> None:
-        """Nothing more is wanted of a set-up without an answer; what still comes of it is put right here."""
+        """Cancel a set-up without an answer; what the machine still sends for it is dealt with here."""
         self._stop_waiting(offer)
         if not offer.written:
             return
-        if offer.started:  # its answer crossed the giving up
+        if offer.started:  # its answer was read before it could be cancelled
             self.release(offer, Cause.NORMAL)
             return
         offer.leg.step(Step.RELEASE)
@@ -166,22 +167,22 @@
                 self._send_message(offer.conn, Message(Kind.RELEASE, offer.id, Cause.NORMAL))
 
     def _remember_ended(self, offer: Offer) -> None:
-        """What the machine still says of this attempt must not be taken for a word on a later one."""
+        """Remember its id: late messages about this attempt must not be taken for a later attempt's."""
         self.ended_attempts[offer.id] = None
         if len(self.ended_attempts) > MAX_ENDED_ATTEMPTS:
             del self.ended_attempts[next(iter(self.ended_attempts))]
 
     def cancel_unsent(self) -> None:
-        """Set-ups that wait for a connection do not leave any more."""
+        """Cancel the set-ups that were not written yet."""
         for conn in self.conns:
             for offer in [each for each in conn.open_offers.values() if not each.written]:
                 self._stop_waiting(offer)
                 self.pool.listener.on_unsent(offer)
 
-    # --- standing tasks -----------------------------------------------------------------------------------
+    # --- running tasks ------------------------------------------------------------------------------------
 
     def adopt(self, offer: Offer) -> None:
-        """A task that stands here already, handed over by its owner."""
+        """Take over a task that already runs here, handed over by its owner."""
         offer.leg.step(Step.HANDED)
         offer.started = offer.written = True
         if not self.running:
@@ -190,7 +191,7 @@
         self.loop.call_soon(self.ensure_connected)
 
     def release(self, offer: Offer, cause: int) -> None:
-        """Cut a task that stands; its release by the machine still comes."""
+        """End a running task; the machine confirms with a release of its own."""
         conn = offer.conn if offer.conn is not None and offer.conn.is_live() else self.find_live_connection()
         self.pending_releases.add(offer.id, cause)
         if conn is None:
@@ -209,13 +210,13 @@
         return next((conn for conn in reversed(self.conns) if conn.is_live()), None)
 
     def ensure_connected(self) -> None:
-        """Where tasks stand a connection is kept or dialled while there is room for it; beyond that machines
-        are visited in turn, by `test`."""
+        """Dial a machine that runs tasks and has no connection, if there is room for one.  Otherwise
+        `check_liveness` reconnects to such machines in turn."""
         if self.running and not self.conns and self.pool.connection_count < self.pool.max_connections():
             self.dial("line")
 
     def check_liveness(self, now: int) -> None:
-        """Each second: is the machine still there, while something of ours is?"""
+        """Called each second: check that the machine is alive while it runs tasks of ours."""
         for conn in self.conns:
             if not conn.open_offers and not conn.reusable:
                 conn.start_closing()
@@ -234,23 +235,24 @@
                     conn.stream.abort(TimeoutError("silent"))
             case LivenessAction.RECONNECT:
                 self._reconnect(now)
-            case LivenessAction.PING if (line := self.find_live_connection()) is not None:
+            case LivenessAction.PING if (live := self.find_live_connection()) is not None:
                 self.liveness.record_request(now)
-                self._send_message(line, Message(Kind.PING, NO_ID, TEST_ASKED))
+                self._send_message(live, Message(Kind.PING, NO_ID, TEST_ASKED))
             case _:
                 self.ensure_connected()
 
     def _reconnect(self, now: int) -> None:
-        """Dial a machine with tasks and no connection: it tells on the next one what has ended.
+        """Dial a machine that runs tasks and has no connection: it reports on the new one what has ended.
 
-        Danger: without a visit its ends are told too late, and it would pass for silent.  So the bound is
-        passed where no other can be let go, but not into what journal and log need."""
+        Without this, ends would be reported too late and the machine would count as silent.  So the limit on
+        connections may be exceeded if none can be closed, but not into the descriptors that the journal and
+        the log need."""
         self.liveness.record_request(now)
         if self.pool.make_room() or self.pool.free_descriptors() > 0:
             self.dial("visit")
 
     def fail_running_tasks(self, why: str) -> None:
-        """The machine can't hold our tasks any more."""
+        """Report all running tasks as broken: the machine does not run them any more."""
         lost, self.running = list(self.running.values()), {}
         self.pending_releases.clear()
         for offer in lost:
@@ -259,7 +261,7 @@
         if self.removed:
             self._clean_up()
 
-    # --- what comes in ------------------------------------------------------------------------------------
+    # --- incoming messages --------------------------------------------------------------------------------
 
     def on_message(self, conn: Conn, message: Message) -> None:
         listener = self.pool.listener
@@ -305,7 +307,7 @@
             self._send_message(conn, Message(Kind.PONG, message.id, 1))
 
     def on_task_end(self, id: str, end: TaskEnd) -> None:
-        """A task that stood here has ended."""
+        """A running task has ended."""
         self.pending_releases.confirm(id)
         offer = self.running.pop(id, None)
         if offer is not None:
@@ -313,8 +315,8 @@
             self.pool.listener.on_release(offer, end.cause, end.note)
 
     def _on_early_end(self, id: str, end: TaskEnd) -> None:
-        """An end of a task that does not stand yet: its answer lies unread on another connection, or it is
-        about to be handed over."""
+        """The end of a task that does not run yet, as far as is known: its answer is still unread on another
+        connection, or it is about to be handed over."""
         for conn in self.conns:
             offer = conn.open_offers.get(id)
             if offer is not None and offer.written:
@@ -324,7 +326,7 @@
         self.pool.on_early_end(self.name, id, end)
 
     def _on_stray_answer(self, conn: Conn, message: Message) -> None:
-        """An answer that no open set-up waits for: one given up must not stand; others are not ours."""
+        """An answer that no open set-up waits for: a given-up task is released, other answers are ignored."""
         if message.id in self.ended_attempts and message.id not in self.running:
             self._send_message(conn, Message(Kind.RELEASE, message.id, Cause.NORMAL))
         self.report.count("machine.stray_answer")
@@ -345,7 +347,8 @@
             )
         unsent = [offer for offer in conn.open_offers.values() if not offer.written]
         if up and unsent and not self.setups_blocked and self.pool.make_room():
-            # It waited for a test on a connection that was dead; only a new one tells whether the machine is.
+            # They waited for a ping on a connection that was dead.  Whether the machine is, too, only a new
+            # connection shows.
             fresh = self.dial("setup")
             for offer in unsent:
                 offer.conn = fresh
@@ -359,18 +362,18 @@
                 self._remember_ended(offer)
                 self.pool.listener.on_broken(offer, repr(fault)[:80])
         if not up and is_refused(fault) and self.running and not self.conns:
-            # Nobody listens there: the process is dead, and its tasks with it.
+            # Nothing listens there: the machine's process is dead, and its tasks with it.
             self.fail_running_tasks("refused")
         self.pending_releases.mark_unsent(conn)
-        if (line := self.find_live_connection()) is not None:
-            self._send_releases(line)
+        if (live := self.find_live_connection()) is not None:
+            self._send_releases(live)
         if up and not conn.closed_for_room:
             self.ensure_connected()
         if self.removed:
             self._clean_up()
 
     def _clean_up(self) -> None:
-        """The machine has left the list: close what nothing needs, and forget it in the end."""
+        """The machine has left the list: close unused connections, and drop the link once nothing is left."""
         for conn in self.conns:
             if not conn.open_offers:
                 conn.start_closing()
--- a/ladderhub/platform/links.py
+++ b/ladderhub/platform/links.py
@@ -1,16 +1,16 @@
-"""Connections to machines: set-ups on their way out, and what machines say of them.
+"""Connections to machines: the set-ups sent on them, and what machines report.
 
-A set-up has a connection to itself, so that a spoilt or broken one ends that set-up alone.  A connection on
-which all went well is used again: at once while the machine was heard a moment ago, else once a test on it
-has passed.  Where there is none, one is dialled.  So a machine that can't be reached is found before anything
-left.  While tasks stand at a machine a connection to it is kept, over which it tells of them.
+A set-up has a connection to itself, so that invalid data or a reset ends that set-up alone.  A connection
+without such a fault is reused: at once if the machine was heard from recently, else after a ping on it is
+answered.  If there is none, one is dialled.  So an unreachable machine is noticed before anything is sent.
+While tasks run on a machine a connection to it is kept, on which it reports their ends.
 
-Where new connections are paid for, a second set-up to a machine joins the first on its connection, if the
-effects of both allow that they are lost together and asked for again.
+If new connections have a price, a second set-up to a machine shares the connection of the first, provided
+that both may be lost together and sent again.
 
-Where descriptors run short, a connection that nothing is open on is let go for each that is needed: first
-those of no use, then lines to machines with standing tasks, in turn.  Such a machine tells what ended on the
-next connection that is opened, so it is visited in time.  Only where all are in use do set-ups share.
+If descriptors run short, an idle connection is closed for each one that is needed: first those that no task
+needs, then those to machines that run tasks, in turn.  Such a machine reports what ended on the next
+connection that is opened, so it is reconnected in time.  Only if all connections are in use do set-ups share.
 """
 
 from __future__ import annotations
@@ -25,15 +25,15 @@
 from ladderhub.platform.liveness import PING_INTERVAL_NS
 from ladderhub.platform.report import Report
 
-CHECK_PARTS = 10  # the tests of a second are spread over it, so that they hold up nothing
+CHECK_PARTS = 10  # the checks of one second are spread over it, so that they delay nothing else
 
 
 class Links:
-    """The links to all machines, by name: an address may pass from a machine that is gone to a new one.
+    """The links to all machines, by name, as a new machine may have the address of one that is gone.
 
-    `max_connections`: how many connections there may be now; `free_descriptors`: how many more there is room
-    for at all.  `idle_timeout_ns`: machines close connections that were left idle for so long.
-    `share_connections`: connections are paid for, so set-ups that may be repeated share one."""
+    `max_connections`: how many connections there may be now; `free_descriptors`: how many more could be
+    opened at all.  `idle_timeout_ns`: machines close connections that were idle for this long.
+    `share_connections`: new connections have a price, so repeatable set-ups share one."""
 
     def __init__(
         self, loop: Loop, report: Report, listener: OfferListener, connect_timeout_ns: int,
@@ -50,27 +50,27 @@
         self.connection_count = 0
         self._links: dict[str, Link] = {}
         self._early_ends: EarlyEnds[tuple[str, str], TaskEnd] = EarlyEnds()
-        self._connected: dict[Conn, None] = {}  # connections by the time they came up, oldest first
-        self._unchecked: list[Link] = []  # of this second, those still to be tested
+        self._connected: dict[Conn, None] = {}  # in the order in which they came up
+        self._unchecked: list[Link] = []  # those still to be checked in this second
         self._current_part = self._links_per_part = 0
         loop.call_later(PING_INTERVAL_NS // CHECK_PARTS, self._check_next)
 
     def make_room(self) -> bool:
-        """Whether a connection may be dialled, after letting one go for it where the bound is reached."""
+        """Whether a connection may be dialled; at the limit an idle one is closed for it."""
         return self.connection_count < self.max_connections() or self._close_idle()
 
     def trim(self) -> None:
-        """Others need descriptors: one idle connection less where there are more than there may be."""
+        """Close one idle connection if there are more than allowed: owners need descriptors."""
         if self.connection_count > self.max_connections():
             self._close_idle()
 
     def _close_idle(self) -> bool:
-        # First what is of no use, as no task stands there or there is another line; of the rest the longest
-        # up, so that all have turns of the same length.
+        # First one that is not needed, as no task runs there or there is another connection; of the rest the
+        # one that has been up longest, so that all are connected for the same time.
         for needed in (False, True):
             for conn in self._connected:
-                fit = conn.is_idle() and conn.link.is_needed(conn) is needed
-                if fit and conn.stream is not None and not conn.stream.unread():
+                matches = conn.is_idle() and conn.link.is_needed(conn) is needed
+                if matches and conn.stream is not None and not conn.stream.unread():
                     conn.closed_for_room = True
                     self.report.count("machine.let_go")
                     conn.stream.abort(None)
@@ -88,7 +88,7 @@
         return self._links.get(name)
 
     def update_machine(self, name: str, address: Address, serving: bool, gone: bool) -> None:
-        """The list says where a machine is and whether it takes tasks."""
+        """Apply the machine's address and stage from the list."""
         link = self._links.get(name)
         if link is None:
             if gone:
@@ -103,22 +103,22 @@
             link.fail_running_tasks("gone")
 
     def remove_unlisted(self, listed: set[str]) -> None:
-        """A whole list names these: all others are gone."""
+        """Remove all machines that a full list does not name."""
         for name, link in list(self._links.items()):
             if name not in listed:
                 self.update_machine(name, link.address, False, True)
 
     def count_unsent(self) -> int:
-        """Connections with bytes that their machine has not taken yet."""
+        """The number of connections with bytes that are not sent yet."""
         return sum(conn.stream is not None and conn.stream.unsent() for conn in self._connected)
 
     def read_pending(self) -> None:
-        """Take what machines have said so far."""
+        """Read and handle what machines have sent so far."""
         for conn in list(self._connected):
             conn.read_pending()
 
     def close(self) -> None:
-        """Nothing more is said to machines, or heard of them."""
+        """Close all connections: nothing more is sent to machines or read from them."""
         for conn in list(self._connected):
             if conn.stream is not None:
                 conn.closed_for_room = True
@@ -136,25 +136,25 @@
             link.send(offer)
 
     def adopt(self, offer: Offer) -> None:
-        """Look after a task that stands; where the list knows no such machine it ended with that machine."""
+        """Take over a running task.  If its machine is not on the list, the task ended with the machine."""
         link = self._links.get(offer.machine)
         if link is None or link.removed:
             self.report.line("adopted.nowhere", machine=offer.machine)
             self.loop.call_soon(self.listener.on_broken, offer, "not on the list")
         else:
             link.adopt(offer)
-            early = self._early_ends.take(self.loop.now_ns(), (offer.machine, offer.id))
-            if early is not None:
-                # Danger: its end crossed the handing over, and its machine need not tell it twice.
+            end = self._early_ends.take(self.loop.now_ns(), (offer.machine, offer.id))
+            if end is not None:
+                # Its end arrived before it was handed over, and the machine need not report it again.
                 self.report.count("adopted.over")
-                self.loop.call_soon(link.on_task_end, offer.id, early)
+                self.loop.call_soon(link.on_task_end, offer.id, end)
 
     def on_early_end(self, machine: str, id: str, end: TaskEnd) -> None:
-        """An end of a task that nobody here looks after; it may be about to be handed over."""
+        """Keep the end of a task that is unknown here, as the task may be about to be handed over."""
         self._early_ends.add(self.loop.now_ns(), (machine, id), end)
 
     def give_up(self, offer: Offer) -> None:
-        """See `Link.give_up`; nothing is left to do where the machine is forgotten."""
+        """See `Link.give_up`; nothing is left to do if the link was dropped."""
         if offer.machine in self._links:
             self._links[offer.machine].give_up(offer)
 
--- a/ladderhub/platform/liveness.py
+++ b/ladderhub/platform/liveness.py
@@ -1,53 +1,56 @@
-"""Whether a machine is still there, judged by what was heard of it and by what it was asked."""
+"""Decides whether a machine is still alive, from when it was last heard from and when it was pinged."""
 
 from __future__ import annotations
 
 from enum import Enum
 
 S = 1_000_000_000
-# A task that is over must be released within 8 s of its end, also where its machine fell silent.  A machine
-# that says nothing is tested each second; it was last heard up to a test before the end, and is given up a
-# test before the time is over.
+# The owner must get a release within 8 s after its task ended, also if the machine fell silent.  A machine is
+# pinged each second.  Its last message may be up to one ping interval older than the end of the task, and it
+# is given up one ping interval before the deadline.
 RELEASE_DEADLINE_NS = 8 * S
 PING_INTERVAL_NS = 1 * S
 SILENCE_LIMIT_NS = RELEASE_DEADLINE_NS - 2 * PING_INTERVAL_NS
-MIN_RESPONSE_TIME_NS = 3 * S  # and it must have had so long to answer, also where this process stood still
-# A machine without a connection is visited when half of that time has passed: enough tries are left.
+# A machine always has this long to respond to the first ping or dial, also after a pause of this process.
+MIN_RESPONSE_TIME_NS = 3 * S
+# A machine without a connection is dialled after half of the silence limit, which leaves time for retries.
 RECONNECT_AFTER_NS = SILENCE_LIMIT_NS // 2
 
 
 class LivenessAction(Enum):
-    """What to do about a machine where tasks stand."""
+    """What to do next about a machine that runs tasks."""
 
-    NOTHING = "heard a moment ago"
-    PING = "test it over a connection"
-    RECONNECT = "its connections may be dead where it is not: only new ones tell"
-    GIVE_UP = "it is silent: its tasks can't be told of in time"
+    NOTHING = "it was heard from recently"
+    PING = "ping it over an open connection"
+    RECONNECT = "its connections may be dead while it is alive: open a new one"
+    GIVE_UP = "it was silent for too long: report its tasks as ended before the deadline"
 
 
 class Liveness:
-    """Times are the loop's, in nanoseconds."""
+    """Tracks when one machine was last heard from.  All times are the event loop's, in nanoseconds."""
 
     def __init__(self, now_ns: int) -> None:
         self.last_heard_ns = now_ns
-        self.unresponsive = False  # a test or a dial came to nothing, and it was not heard since
-        self._awaiting_since_ns: int | None = None  # when it was first asked since it was last heard
+        self.unresponsive = False  # a ping or a dial failed, and it was not heard from since
+        self._awaiting_since_ns: int | None = (
+            None  # when it was first pinged or dialled since it was last heard from
+        )
 
     def record_heard(self, now_ns: int) -> None:
-        """It said something."""
+        """Record that data arrived from the machine."""
         self.last_heard_ns, self._awaiting_since_ns, self.unresponsive = now_ns, None, False
 
     def record_request(self, now_ns: int) -> None:
-        """It was tested or dialled: silence counts from here, not from a pause of this process."""
+        """Record a ping or a dial: the time to respond runs from here, not from before a pause here."""
         if self._awaiting_since_ns is None:
             self._awaiting_since_ns = now_ns
 
     def get_silence_ns(self, now_ns: int) -> int:
-        """For how long nothing was heard of it."""
+        """Time since the machine was last heard from."""
         return now_ns - self.last_heard_ns
 
     def choose_action(self, now_ns: int, connected: bool) -> LivenessAction:
-        """What is due now; without a connection there is none to test or to replace."""
+        """The next action; without a connection the machine can only be dialled or given up."""
         quiet_ns, asked_ns = self.get_silence_ns(now_ns), self._awaiting_since_ns
         if quiet_ns > SILENCE_LIMIT_NS and asked_ns is not None and now_ns - asked_ns >= MIN_RESPONSE_TIME_NS:
             return LivenessAction.GIVE_UP
--- a/ladderhub/platform/mapping.py
+++ b/ladderhub/platform/mapping.py
@@ -1,4 +1,4 @@
-"""What the platform's messages and lists mean to the module.  Translation only."""
+"""Translates the platform's messages and lists into the decision module's types.  Decides nothing."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
 }
 
 
-def to_outcome(cause: int | None, stood: bool) -> api.Outcome:
-    """What a machine's release by this cause means, before or after its answer; what is not told is LOST,
-    which proves nothing."""
+def to_outcome(cause: int | None, started: bool) -> api.Outcome:
+    """The outcome that a machine's release with this cause stands for, before or after the task started.  A
+    missing or unknown cause means LOST, which does not tell whether the task ran."""
     return (
         api.Outcome.LOST
         if cause is None
-        else (_OUTCOMES_AFTER_ANSWER if stood else _OUTCOMES_BEFORE_ANSWER).get(cause, api.Outcome.LOST)
+        else (_OUTCOMES_AFTER_ANSWER if started else _OUTCOMES_BEFORE_ANSWER).get(cause, api.Outcome.LOST)
     )
 
 
@@ -54,7 +54,7 @@
 
 
 class NameIndex:
-    """Classes, tenants, machine kinds and zones by the names that the settings give them, as indices."""
+    """Indices of classes, tenants, machine kinds and zones, by their names in the settings."""
 
     def __init__(self, settings: Row) -> None:
         self.classes = {
@@ -65,7 +65,7 @@
         self.zones = {str(name): at for at, name in enumerate(settings.get("zones") or ())}
 
     def to_machine_entry(self, row: HostRow) -> api.MachineEntry:
-        """One row of the journal; FieldError where it names what the settings don't know."""
+        """Translate one row of the journal; FieldError if it uses a name unknown to the settings."""
         return api.MachineEntry(
             machine=row.name,
             stage=parse_choice(_STAGES, "status", row.status),
--- a/ladderhub/platform/pool.py
+++ b/ladderhub/platform/pool.py
@@ -1,4 +1,4 @@
-"""The connections to all machines, as the link to one of them sees them."""
+"""The interface of the connection pool that the link to one machine uses."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ConnectionPool(Protocol):
-    """The connections to all machines, as one machine's link sees them."""
+    """The connections to all machines, as the link to one machine uses them."""
 
     loop: Loop
     report: Report
