--- a/ladderhub/platform/liveness.py
+++ b/ladderhub/platform/liveness.py
@@ -32,16 +32,15 @@
     def __init__(self, now_ns: int) -> None:
         self.last_heard_ns = now_ns
         self.unresponsive = False  # a ping or a dial failed, and it was not heard from since
-        self._awaiting_since_ns: int | None = (
-            None  # when it was first pinged or dialled since it was last heard from
-        )
+        # when it was first pinged or dialled since it was last heard from
+        self._awaiting_since_ns: int | None = None
 
     def record_heard(self, now_ns: int) -> None:
         """Record that data arrived from the machine."""
         self.last_heard_ns, self._awaiting_since_ns, self.unresponsive = now_ns, None, False
 
     def record_request(self, now_ns: int) -> None:
-        """Record a ping or a dial: the time to respond runs from here, not from before a pause here."""
+        """Record a ping or a dial.  The time to respond starts now, so an earlier pause does not count."""
         if self._awaiting_since_ns is None:
             self._awaiting_since_ns = now_ns
 
--- a/tests/platform/bed.py
+++ b/tests/platform/bed.py
@@ -1,4 +1,4 @@
-"""The platform's surroundings in small, on loopback and one loop: scripted owners, machines and a journal."""
+"""A test bed for the platform on loopback and one event loop: scripted owners, machines and a journal."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 MS = 1_000_000
 S = 1_000 * MS
 START_NS = 1_700_000_000 * S
-NEVER_RAN_CAUSES = (34, 42, 102)  # causes that promise that nothing ran
+NEVER_RAN_CAUSES = (34, 42, 102)  # release causes which guarantee that the task never ran
 CLASSES = [("web", "read_like", 9000), ("bill", "non_idempotent", 3000)]
 LINGER_RESET = struct.pack("ii", 1, 0)
-IP_BIND_ADDRESS_NO_PORT = 24  # of Linux; Python names it from 3.12 on
+IP_BIND_ADDRESS_NO_PORT = 24  # Linux option, in the socket module since Python 3.12
 Script = Callable[["MachineConn", Message], None]
 
 
@@ -49,7 +49,7 @@
 
 
 class BedInterface(Protocol):
-    """What machines and owners need of the bed that they belong to."""
+    """What machines and owners use of their test bed."""
 
     loop: Loop
     machine_messages: list[tuple[Machine, Message]]
@@ -57,7 +57,7 @@
 
 
 class MachineConn:
-    """A scheduler's connection, as a machine has it."""
+    """The machine's end of a connection from the scheduler."""
 
     def __init__(self, machine: Machine, sock: Any) -> None:
         self.machine, self.reader = machine, BinaryReader()
@@ -84,7 +84,7 @@
         self.stream.write(b"".join(encode_binary(message) for message in messages))
 
     def reset(self) -> None:
-        """Reset the connection; what was said before is on its way already."""
+        """Reset the connection; what was sent before is still delivered."""
         sock = self.stream.sock
         assert isinstance(sock, socket.socket)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
@@ -92,7 +92,7 @@
 
 
 class Machine:
-    """A machine whose `script` answers what it hears."""
+    """A machine whose `script` handles the messages that it receives."""
 
     def __init__(self, bed: BedInterface, name: str, script: Script) -> None:
         self.bed, self.name, self.script = bed, name, script
@@ -100,7 +100,7 @@
         self.conns: list[MachineConn] = []
         self.silent = False
         self.on_accept: Callable[[MachineConn], object] = lambda conn: None
-        self.dead_conns: list[MachineConn] = []  # connections that stay open and bring nothing any more
+        self.dead_conns: list[MachineConn] = []  # connections that stay open, on which pings are not answered
         self.listener = Listener(bed.loop, (own_host(), 0), self._accept)
         self.address = self.listener.address
 
@@ -130,12 +130,12 @@
 
 
 def ignore_all(conn: MachineConn, message: Message) -> None:
-    """Say nothing to anything."""
+    """Answer nothing."""
 
 
 def connect_from(source: str, address: tuple[str, int]) -> socket.socket:
-    """A connection from this address.  Its port need not be free for all destinations: callers by the
-    thousand, which the kernel remembers for a minute, would use up the range."""
+    """A connection from this address.  Its port need only be unused for this destination, as thousands of
+    callers, whose ports the kernel keeps for a minute, would otherwise use up the port range."""
     sock = socket.socket()
     sock.setsockopt(socket.IPPROTO_IP, IP_BIND_ADDRESS_NO_PORT, 1)
     sock.bind((source, 0))
@@ -144,7 +144,7 @@
 
 
 class Owner:
-    """One connection of an owner."""
+    """One connection of an owner; `acknowledges`: it confirms releases."""
 
     def __init__(self, bed: BedInterface, acknowledges: bool = True, source: str = "127.0.0.1") -> None:
         self.reader, self.acknowledges = LineReader(), acknowledges
@@ -172,7 +172,7 @@
 
 
 class Journal:
-    """A journal service that writes what a test tells it to."""
+    """A journal service that sends what a test gives it."""
 
     def __init__(self, bed: Bed) -> None:
         self.requests: list[bytes] = []
@@ -200,7 +200,7 @@
 
 
 class Bed:
-    """One scheduler with its surroundings, on a clock that the test moves."""
+    """One scheduler with its machines and journal, on a clock that the test advances."""
 
     def __init__(
         self, folder: Path, *scripts: Script, sockets: int = 256, caught_up: bool = True,
@@ -208,7 +208,7 @@
     ) -> None:  # fmt: skip
         self.clock = ManualClock(START_NS)
         self.errors: list[str] = []
-        self.machine_messages: list[tuple[Machine, Message]] = []  # by all machines, in order
+        self.machine_messages: list[tuple[Machine, Message]] = []  # received by all machines, in order
         self.loop = Loop(self.clock, lambda where, fault: self.errors.append(f"{where}: {fault!r}"))
         self.machines = [Machine(self, f"m{at}", script) for at, script in enumerate(scripts)]
         self.journal = Journal(self)
@@ -226,7 +226,7 @@
         self.environment = {"PROXY_NAME": "n0", "PROXY_CONFIG": str(self.path)}
         self.path.write_text(json.dumps(self.file))
         report = Report(self.clock.now_ns, lambda data: self.logged.append(json.loads(data)))
-        config = replace(load(self.environment), listen=(own_host(), 0))  # any free port, which no file says
+        config = replace(load(self.environment), listen=(own_host(), 0))  # any free port: no file may say so
         self.service = Service(self.loop, config, report)
         self.service.start()
         while caught_up and not self.service.follower.caught_up:
@@ -236,7 +236,7 @@
         self._count = 0
 
     def run(self, until: Callable[[], object] | None = None, span_ns: int = 0) -> None:
-        """Turn the loop until something is so, moving the clock by `span_ns` in small steps meanwhile."""
+        """Run the loop until the condition holds, advancing the clock by `span_ns` in small steps."""
         for turn in range(2000):
             if until is not None and until() and not span_ns:
                 return
@@ -247,7 +247,7 @@
                 span_ns -= step
             elif until is None and turn > 15:
                 return
-        raise AssertionError(f"did not come about; log: {self.logged[-5:]}")
+        raise AssertionError(f"the condition was not reached; log: {self.logged[-5:]}")
 
     def setup(self, klass: str = "web", left: object = 2000, **extras: object) -> Message:
         self._count += 1
@@ -263,7 +263,7 @@
         return self.setup(at=machine.name)
 
     def module(self) -> Scheduler:
-        """The decision module as it stands."""
+        """The decision module, with its current state."""
         return self.service.tasks.module
 
     def close(self) -> None:
@@ -277,7 +277,7 @@
 
 
 def place_task(bed: Bed, owner: Owner, klass: str = "web") -> Message:
-    """A task that stands."""
+    """Have a task placed; return its set-up."""
     asked = bed.setup(klass)
     owner.send(asked)
     bed.run(lambda: [m for m in owner.received(Kind.ANSWER) if m.id == asked.id])
--- a/tests/platform/conftest.py
+++ b/tests/platform/conftest.py
@@ -1,4 +1,4 @@
-"""Schedulers with their surroundings, closed and looked over at the end of each test."""
+"""Fixtures that make test beds, closed and checked for errors at the end of each test."""
 
 from __future__ import annotations
 
--- a/tests/platform/test_gone.py
+++ b/tests/platform/test_gone.py
@@ -1,6 +1,6 @@
-"""Owners that have gone: nothing begins for them any more, however their going crosses what is under way.
+"""Nothing is started for owners that have disconnected or cancelled, whatever is in progress at that moment.
 
-The crossing is forced: the owner's bytes lie in the scheduler's socket, unread, as the next step is taken."""
+The race is forced: the owner's bytes are in the scheduler's socket, unread, when the next step is taken."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from ladderhub.signalling import Kind, Message, encode_line
 from tests.platform.bed import Bed, Owner, accept_all, ignore_all, release
 
-GOING = ("closes", "resets", "cancels", "cancels behind a portion", "cancels where reading is paused")
+WAYS_TO_LEAVE = ("closes", "resets", "cancels", "cancels behind a portion", "cancels where reading is paused")
 
 
-def go(bed: Bed, owner: Owner, id: str, how: str) -> None:
-    """The owner goes, and the scheduler has not read it yet."""
+def leave(bed: Bed, owner: Owner, id: str, how: str) -> None:
+    """The owner disconnects or cancels, and the scheduler has not read that yet."""
     cancel = Message(Kind.RELEASE, id, 16)
     (conn,) = (each for each in bed.service.door._conns if id in each.open)
     if how == "closes":
@@ -35,18 +35,18 @@
         owner.send(cancel)
 
 
-@pytest.mark.parametrize("how", GOING)
+@pytest.mark.parametrize("how", WAYS_TO_LEAVE)
 def test_a_refusal_starts_no_attempt_for_an_owner_that_has_gone(beds: Any, how: str) -> None:
-    # Guards against the next attempt begun in the turn in which the owner's going lies unread.
+    # Guards against a next attempt started while the owner's close or cancellation is unread.
     bed = beds(ignore_all, ignore_all)
     for name in ("m0", "m1"):
-        bed.service.links.get(name).dial("line")  # so that the next attempt could leave at once
+        bed.service.links.get(name).dial("line")  # so that the next attempt could be sent at once
     bed.run()
     owner, asked = Owner(bed), bed.setup()
     owner.send(asked)
     bed.run(lambda: bed.machine_messages)
     ((machine, _),) = bed.machine_messages
-    go(bed, owner, asked.id, how)
+    leave(bed, owner, asked.id, how)
     link = bed.service.links.get(machine.name)
     link.on_message(link.conns[0], release(asked.id, 34))
     bed.run()
@@ -54,14 +54,14 @@
     assert not bed.module().tasks and not bed.service.tasks._by_number
 
 
-@pytest.mark.parametrize("how", GOING)
-def test_a_dial_that_comes_up_carries_nothing_for_an_owner_that_has_gone(beds: Any, how: str) -> None:
+@pytest.mark.parametrize("how", WAYS_TO_LEAVE)
+def test_a_new_connection_sends_nothing_for_an_owner_that_has_gone(beds: Any, how: str) -> None:
     bed = beds(ignore_all)
     owner, asked = Owner(bed), bed.setup()
     owner.send(asked)
-    # dialled; the kernel has it up, and the loop has not seen that
+    # dialled: the kernel has connected, and the loop has not noticed yet
     bed.run(lambda: bed.service.links.connection_count)
-    go(bed, owner, asked.id, how)
+    leave(bed, owner, asked.id, how)
     (conn,) = bed.service.links.get("m0").conns
     assert not conn.stream.connected
     conn.stream._ready(2)
@@ -70,14 +70,14 @@
     assert not bed.machine_messages and bed.service.tasks.open == 0 and not bed.module().tasks
 
 
-@pytest.mark.parametrize("how", GOING)
-def test_an_answer_that_crosses_its_owners_going_is_released_at_its_machine(beds: Any, how: str) -> None:
-    # Guards against a task that stands for nobody: the answer was passed on over a close that lay unread.
+@pytest.mark.parametrize("how", WAYS_TO_LEAVE)
+def test_an_answer_read_after_its_owner_has_gone_is_released_at_its_machine(beds: Any, how: str) -> None:
+    # Guards against a task that runs for nobody: its answer was passed on while the close was unread.
     bed = beds(ignore_all)
     owner, asked = Owner(bed), bed.setup()
     owner.send(asked)
     bed.run(lambda: bed.machine_messages)
-    go(bed, owner, asked.id, how)
+    leave(bed, owner, asked.id, how)
     link = bed.service.links.get("m0")
     link.on_message(link.conns[0], Message(Kind.ANSWER, asked.id, None, "runs"))
     assert bed.service.tasks.find(asked.id) is None and not owner.messages
@@ -88,9 +88,9 @@
     assert not link.running and not bed.module().tasks and not bed.service.tasks._by_number
 
 
-def test_a_set_up_and_the_close_after_it_read_at_once_begin_nothing(beds: Any) -> None:
-    # Guards also against actions lost with a task that ended while they were carried out: the same look
-    # ends several tasks of one owner, and what else the module said must still be done.
+def test_a_set_up_and_the_close_after_it_read_together_start_nothing(beds: Any) -> None:
+    # Guards also against lost actions: one read ends several tasks of an owner while the module's actions are
+    # carried out, and the actions for other tasks must still be carried out.
     bed = beds(accept_all)
     owner, other = Owner(bed), Owner(bed)
     bed.run()
@@ -103,8 +103,8 @@
     bed.run(lambda: other.received(Kind.ANSWER))
 
 
-def test_waiting_tasks_of_owners_that_went_hold_up_no_others(beds: Any) -> None:
-    # Guards against a sweep that is given up half way: its timer was lost with the actions behind the first.
+def test_waiting_tasks_of_owners_that_have_gone_delay_no_others(beds: Any) -> None:
+    # Guards against a sweep that stops half way: its timer was lost with the actions after the first one.
     bed = beds(accept_all)
     full = bed.setup(cores=32, memory=1)
     first, other = Owner(bed), Owner(bed)
@@ -115,8 +115,8 @@
     last = bed.setup(left=8000, cores=2)
     other.send(last)
     bed.run(lambda: len(bed.module().waiting_tasks) == 4)
-    go(bed, first, held[0].id, "closes")
-    # Room comes, and the next look at the waiting is taken before the owner's end is read.
+    leave(bed, first, held[0].id, "closes")
+    # Cores become free, and the waiting tasks are swept before the owner's close is read.
     link = bed.service.links.get("m0")
     link.on_message(link.conns[0], release(full.id, 16))
     bed.service.tasks._tell(TimerFired(SWEEP_TIMER))
--- a/tests/platform/test_late.py
+++ b/tests/platform/test_late.py
@@ -1,6 +1,6 @@
-"""The process stood still or is behind: what peers sent meanwhile lies unread, and no peer is judged by that.
+"""No peer times out because this process was paused or is behind and has not read the peer's messages yet.
 
-The crossing is forced: the peer's bytes lie in the scheduler's socket as the span is looked at."""
+The race is forced: the peer's bytes are in the scheduler's socket, unread, when the timeout is checked."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from tests.platform.bed import MS, Owner, S, accept_all, event, ignore_all, place_task
 
 
-def test_an_answer_that_lies_unread_as_its_time_runs_out_is_passed_on(beds: Any) -> None:
+def test_an_answer_still_unread_at_its_timeout_is_passed_on(beds: Any) -> None:
     bed = beds(ignore_all)
     owner, asked = Owner(bed), bed.setup(left=1000)
     owner.send(asked)
@@ -26,7 +26,7 @@
     assert bed.machines[0].received(Kind.RELEASE) == []
 
 
-def test_a_test_passed_and_not_read_yet_keeps_its_connection(beds: Any) -> None:
+def test_an_unread_pong_keeps_its_connection(beds: Any) -> None:
     bed = beds(accept_all)
     owner = Owner(bed)
     asked = place_task(bed, owner)
@@ -34,7 +34,7 @@
     bed.run(lambda: owner.received(Kind.RELEASED))
     bed.machines[0].conns[0].send(Message(Kind.RELEASE, asked.id, 31))
     bed.run(span_ns=2 * S)
-    bed.machines[0].silent = True  # its word is given by hand
+    bed.machines[0].silent = True  # the test sends the pong itself
     owner.send(bed.setup())
     link = bed.service.links.get("m0")
     bed.run(lambda: any(conn.ping_timer is not None for conn in link.conns))
@@ -46,7 +46,7 @@
     bed.run(lambda: len(owner.received(Kind.ANSWER)) == 2)
 
 
-def test_a_machine_is_not_silent_while_its_word_lies_unread(beds: Any) -> None:
+def test_a_machine_is_not_silent_while_its_message_is_unread(beds: Any) -> None:
     bed = beds(accept_all)
     owner = Owner(bed)
     place_task(bed, owner)
@@ -57,8 +57,8 @@
     assert not owner.received(Kind.RELEASE)
 
 
-def test_machines_are_not_silent_because_the_process_stood_still(beds: Any) -> None:
-    # Guards against all tasks told over after a pause in which no machine was asked anything.
+def test_machines_are_not_silent_because_the_process_was_paused(beds: Any) -> None:
+    # Guards against all tasks reported as ended after a pause in which no machine was pinged.
     bed = beds(accept_all)
     owner = Owner(bed)
     place_task(bed, owner)
@@ -67,7 +67,7 @@
     assert not owner.received(Kind.RELEASE)
 
 
-def test_a_machine_that_is_silent_after_a_pause_is_found_out_though_its_connection_is_in_use(
+def test_a_machine_that_is_silent_after_a_pause_is_detected_though_its_connection_is_in_use(
     beds: Any,
 ) -> None:
     bed = beds(accept_all)
@@ -82,7 +82,7 @@
     assert asked.id in [each.id for each in owner.received(Kind.RELEASE)]
 
 
-def test_a_journal_is_not_silent_while_its_lines_lie_unread(beds: Any) -> None:
+def test_a_journal_is_not_silent_while_its_lines_are_unread(beds: Any) -> None:
     bed = beds(accept_all)
     bed.run(lambda: bed.journal.streams)
     (stream,) = bed.journal.streams
--- a/tests/platform/test_reset.py
+++ b/tests/platform/test_reset.py
@@ -1,6 +1,6 @@
-"""Connections of machines and owners that end over what they brought, or over what was still to be said.
+"""Connections of machines and owners that break while received messages are unread or messages are unsent.
 
-The crossing is forced: the peer's bytes lie in the scheduler's socket as its connection is found broken."""
+The race is forced: the peer's bytes are in the scheduler's socket, unread, when the connection breaks."""
 
 from __future__ import annotations
 
@@ -24,57 +24,57 @@
 DONE, CANCELLED, NORMAL = 16, 31, 16
 
 
-def released(owner: Owner, asked: Message) -> bool:
+def is_released(owner: Owner, asked: Message) -> bool:
     return asked.id in [each.id for each in owner.received(Kind.RELEASE)]
 
 
-def in_one_round(bed: Bed, *calls: Any) -> None:
-    """Do these after the poll of a round, one after the other."""
+def run_in_one_round(bed: Bed, *calls: Any) -> None:
+    """Make these calls one after the other within one round of the event loop, after its poll."""
 
-    def all_of_them() -> None:
+    def run_calls() -> None:
         for call in calls:
             call()
 
-    bed.loop.call_later(0, all_of_them)
+    bed.loop.call_later(0, run_calls)
     bed.run()
 
 
-def test_an_end_told_just_before_a_reset_is_told_to_its_owner_though_a_test_fails_first(beds: Any) -> None:
+def test_an_end_sent_just_before_a_reset_is_reported_though_a_ping_fails_first(beds: Any) -> None:
     bed = beds(accept_all)
     owner = Owner(bed)
     asked = place_task(bed, owner)
     (conn,), link = bed.machines[0].conns, bed.service.links.get("m0")
     bed.clock.advance(S)
     now = bed.clock.now_ns()
-    in_one_round(
+    run_in_one_round(
         bed, lambda: conn.send(release(asked.id, DONE)), conn.reset, lambda: link.check_liveness(now)
     )
-    assert released(owner, asked)
+    assert is_released(owner, asked)
 
 
-def test_an_end_told_just_before_a_reset_is_told_though_the_connection_is_being_left(beds: Any) -> None:
+def test_an_end_sent_just_before_a_reset_is_reported_though_the_connection_is_closing(beds: Any) -> None:
     bed = beds(accept_all)
     owner = Owner(bed)
     asked = place_task(bed, owner)
     (conn,), (ours,) = bed.machines[0].conns, bed.service.links.get("m0").conns
-    in_one_round(bed, lambda: conn.send(release(asked.id, DONE)), conn.reset, ours.start_closing)
-    assert released(owner, asked)
+    run_in_one_round(bed, lambda: conn.send(release(asked.id, DONE)), conn.reset, ours.start_closing)
+    assert is_released(owner, asked)
 
 
-def test_an_end_unread_as_a_connection_that_is_left_runs_out_of_time_is_told(beds: Any) -> None:
+def test_an_end_still_unread_when_a_closing_connection_times_out_is_reported(beds: Any) -> None:
     bed = beds(accept_all)
     owner = Owner(bed)
     asked = place_task(bed, owner)
     (conn,), (ours,) = bed.machines[0].conns, bed.service.links.get("m0").conns
     ours.start_closing()
-    ours.stream.pause(True)  # the process is behind with reading
+    ours.stream.pause(True)  # the process is late with reading
     conn.send(release(asked.id, DONE))
     bed.run(span_ns=CLOSE_LINGER_NS + 50 * MS)
-    assert ours.stream.closed and released(owner, asked)
+    assert ours.stream.closed and is_released(owner, asked)
 
 
-def two_connections(bed: Bed, owner: Owner) -> tuple[Message, MachineConn, MachineConn]:
-    """A set-up without an answer yet, the connection that it came on, and another one of its machine."""
+def open_two_connections(bed: Bed, owner: Owner) -> tuple[Message, MachineConn, MachineConn]:
+    """An unanswered set-up, the connection that it was sent on, and another connection of its machine."""
     asked = bed.setup("bill", left=3000)
     owner.send(asked, bed.setup("bill", left=3000))
     bed.run(lambda: len(bed.machines[0].received(Kind.SETUP)) == 2)
@@ -84,30 +84,30 @@
     return asked, first, second
 
 
-def test_an_end_read_before_the_answer_on_another_connection_is_told(beds: Any) -> None:
-    # Guards against an end that counts as nobody's, as the order of two connections is that of reading.
+def test_an_end_read_before_the_answer_on_another_connection_is_reported(beds: Any) -> None:
+    # Guards against an end that is dropped as unknown, as two connections may be read in either order.
     bed = beds(ignore_all)
     owner = Owner(bed)
-    asked, first, second = two_connections(bed, owner)
+    asked, first, second = open_two_connections(bed, owner)
     second.send(release(asked.id, DONE))
     bed.run()
     first.send(Message(Kind.ANSWER, asked.id, None, "runs"))
     bed.run(lambda: owner.received(Kind.ANSWER))
     bed.run()
-    assert released(owner, asked)
+    assert is_released(owner, asked)
 
 
-def test_an_answer_unread_on_a_reset_connection_and_its_end_on_another_are_both_told(beds: Any) -> None:
+def test_an_answer_unread_on_a_reset_connection_and_its_end_on_another_are_both_reported(beds: Any) -> None:
     bed = beds(ignore_all)
     owner = Owner(bed)
-    asked, first, second = two_connections(bed, owner)
+    asked, first, second = open_two_connections(bed, owner)
     link = bed.service.links.get("m0")
     ours = next(conn for conn in link.conns if asked.id not in conn.open_offers)
 
     def read_second_first() -> None:
         ours.read_pending()
 
-    in_one_round(
+    run_in_one_round(
         bed,
         lambda: first.send(Message(Kind.ANSWER, asked.id, None, "runs")),
         first.reset,
@@ -118,10 +118,10 @@
 
 
 def test_an_end_of_an_attempt_given_up_does_not_end_the_next_one_at_the_same_machine(beds: Any) -> None:
-    # Guards against an end remembered for a set-up that it does not belong to.
+    # Guards against an end that is kept for a set-up that it does not belong to.
     bed = beds(ignore_all)
     owner = Owner(bed)
-    asked, first, second = two_connections(bed, owner)
+    asked, first, second = open_two_connections(bed, owner)
     link = bed.service.links.get("m0")
     offer = next(conn.open_offers[asked.id] for conn in link.conns if asked.id in conn.open_offers)
     link.ended_attempts[asked.id] = None  # an earlier attempt at the same task was given up here
@@ -130,7 +130,7 @@
     first.send(Message(Kind.ANSWER, asked.id, None, "runs"))
     bed.run(lambda: owner.received(Kind.ANSWER))
     bed.run()
-    assert offer.started and not released(owner, asked)
+    assert offer.started and not is_released(owner, asked)
 
 
 def test_an_end_of_an_attempt_that_broke_does_not_end_the_next_one_at_the_same_machine(beds: Any) -> None:
@@ -141,7 +141,7 @@
     bed.run(lambda: len(bed.machines[0].received(Kind.SETUP)) == 2)
     first = next(conn for conn in bed.machines[0].conns if asked.id in [each.id for each in conn.messages])
     other = next(conn for conn in bed.machines[0].conns if conn is not first)
-    first.reset()  # its answer is lost with it, and the task is asked for again
+    first.reset()  # its answer is lost with it, and the set-up is sent again
     bed.run(lambda: len([each for each in bed.machines[0].received(Kind.SETUP) if each.id == asked.id]) == 2)
     other.send(release(asked.id, DONE))
     bed.run()
@@ -149,35 +149,35 @@
     second.send(Message(Kind.ANSWER, asked.id, None, "runs"))
     bed.run(lambda: owner.received(Kind.ANSWER))
     bed.run()
-    assert not released(owner, asked)
+    assert not is_released(owner, asked)
 
 
-def test_an_end_behind_a_message_that_can_not_be_used_is_told(beds: Any) -> None:
-    # Guards against whole messages dropped since one before them was spoilt.
+def test_an_end_behind_an_invalid_message_is_reported(beds: Any) -> None:
+    # Guards against valid messages dropped because one before them was invalid.
     bed = beds(accept_all)
     owner = Owner(bed)
     asked = place_task(bed, owner)
     bed.machines[0].script = ignore_all
     owner.send(bed.setup("bill", left=3000))
     bed.run(lambda: len(bed.machines[0].received(Kind.SETUP)) == 2)
-    spoilt = bed.machines[0].received(Kind.SETUP)[1].id
-    conn = next(each for each in bed.machines[0].conns if spoilt in [m.id for m in each.messages])
-    conn.send(Message(Kind.ANSWER, spoilt), release(asked.id, DONE))
+    invalid_id = bed.machines[0].received(Kind.SETUP)[1].id
+    conn = next(each for each in bed.machines[0].conns if invalid_id in [m.id for m in each.messages])
+    conn.send(Message(Kind.ANSWER, invalid_id), release(asked.id, DONE))
     bed.run()
-    assert released(owner, asked)
+    assert is_released(owner, asked)
 
 
-def cut_by_its_owner(bed: Bed, owner: Owner, asked: Message) -> None:
+def end_by_owner(bed: Bed, owner: Owner, asked: Message) -> None:
     owner.send(Message(Kind.RELEASE, asked.id, NORMAL))
     bed.run(lambda: owner.received(Kind.RELEASED))
 
 
-def heard_the_cut(machine: Machine, asked: Message) -> bool:
+def has_received_release(machine: Machine, asked: Message) -> bool:
     return asked.id in [each.id for each in machine.received(Kind.RELEASE)]
 
 
-def test_a_task_that_its_owner_ended_is_cut_though_the_connection_was_reset_under_the_cut(beds: Any) -> None:
-    # Guards against tasks left standing at a machine that never heard that they are over.
+def test_a_task_that_its_owner_ended_is_released_though_the_connection_was_reset(beds: Any) -> None:
+    # Guards against tasks that run on because their machine never got the release.
     bed = beds(accept_all)
     owner = Owner(bed)
     asked = place_task(bed, owner)
@@ -186,26 +186,26 @@
     tasks = bed.service.tasks
     tasks.end_standing(tasks.find(asked.id), NORMAL)  # before the reset is noticed
     bed.run(span_ns=2 * S)
-    assert heard_the_cut(bed.machines[0], asked)
+    assert has_received_release(bed.machines[0], asked)
 
 
-def test_a_cut_that_was_confirmed_is_not_said_again(beds: Any) -> None:
+def test_a_confirmed_release_is_not_sent_again(beds: Any) -> None:
     bed = beds(accept_all)
     owner = Owner(bed)
     asked, other = place_task(bed, owner), place_task(bed, owner)
-    cut_by_its_owner(bed, owner, asked)
-    bed.run(lambda: heard_the_cut(bed.machines[0], asked))
+    end_by_owner(bed, owner, asked)
+    bed.run(lambda: has_received_release(bed.machines[0], asked))
     bed.machines[0].conns[-1].send(release(asked.id, CANCELLED))
     bed.run()
     for conn in list(bed.machines[0].conns):
         conn.reset()
     bed.run(span_ns=2 * S)
-    assert bed.machines[0].conns and not heard_the_cut(bed.machines[0], other)
+    assert bed.machines[0].conns and not has_received_release(bed.machines[0], other)
     assert [each.id for each in bed.machines[0].received(Kind.RELEASE)] == [asked.id]
 
 
-def test_an_owner_s_end_read_before_the_handing_over_of_its_task_cuts_it(beds: Any) -> None:
-    # Guards against a task left standing, as its end and its handing over came on two connections.
+def test_an_owner_s_release_read_before_the_handover_of_its_task_ends_it(beds: Any) -> None:
+    # Guards against a task that runs on, as its release and its handover came on two connections.
     bed = beds(accept_all)
     first, second = Owner(bed), Owner(bed)
     asked = bed.handover(bed.machines[0])
@@ -213,11 +213,11 @@
     bed.run()
     first.send(asked)
     bed.run(span_ns=S)
-    assert heard_the_cut(bed.machines[0], asked)
+    assert has_received_release(bed.machines[0], asked)
 
 
-def test_an_owner_s_end_behind_a_set_up_that_is_turned_away_cuts_its_task(beds: Any) -> None:
-    # Guards against what is still read of a connection that is about to be closed, and dropped.
+def test_an_owner_s_release_behind_an_invalid_set_up_ends_its_task(beds: Any) -> None:
+    # Guards against messages that are read from a closing connection and dropped.
     bed = beds(accept_all)
     owner = Owner(bed)
     asked = place_task(bed, owner)
@@ -225,17 +225,17 @@
     unusable.fields["class"] = "nobody's"
     owner.send(unusable, Message(Kind.RELEASE, asked.id, NORMAL))
     bed.run()
-    assert heard_the_cut(bed.machines[0], asked)
+    assert has_received_release(bed.machines[0], asked)
 
 
-def test_a_task_handed_over_behind_a_set_up_that_is_turned_away_is_looked_after(beds: Any) -> None:
+def test_a_task_handed_over_behind_an_invalid_set_up_is_adopted(beds: Any) -> None:
     bed = beds(accept_all)
     owner, other = Owner(bed), Owner(bed)
-    place_task(bed, other)  # whoever carried a task is told of ends elsewhere
+    place_task(bed, other)  # an owner that had a task also gets ends of tasks of other connections
     unusable, asked = bed.setup(), bed.handover(bed.machines[0])
     unusable.fields["class"] = "nobody's"
     owner.send(unusable, asked)
     bed.run(span_ns=100 * MS)
-    assert owner.closed and not released(owner, asked)
+    assert owner.closed and not is_released(owner, asked)
     bed.machines[0].conns[-1].send(release(asked.id, DONE))
-    bed.run(lambda: released(other, asked))
+    bed.run(lambda: is_released(other, asked))
