--- a/benchmarks/accounts.py
+++ b/benchmarks/accounts.py
@@ -46,7 +46,7 @@
     def work() -> None:
         for _ in range(CALLS):
             loop.call_at(0, int)
-        loop.turn(0)
+        loop.run_once(0)
 
     return least_ns(work)
 
@@ -60,7 +60,7 @@
     def work() -> None:
         for _ in range(CALLS):
             peer.send(MESSAGE)
-            loop.turn()
+            loop.run_once()
             peer.recv(len(MESSAGE))
 
     spent = least_ns(work)
--- a/benchmarks/directory.py
+++ b/benchmarks/directory.py
@@ -32,7 +32,7 @@
         self.count = TrafficCount()
         self.size = 0
 
-    def backed_up(self) -> bool:
+    def is_backed_up(self) -> bool:
         return False
 
     def write(self, data: bytes) -> None:
@@ -84,7 +84,7 @@
             for _event in range(round(self._events_per_s * step_ns / S)):
                 self._free[self.random.randrange(len(self._free))] += self.random.choice((-1.0, 1.0))
             self.clock.advance(step_ns)
-            self.loop.turn(0)
+            self.loop.run_once(0)
 
     def full_list(self) -> tuple[int, float, int]:
         """One more scheduler comes: log entries walked, processor seconds and bytes for its first list."""
--- a/benchmarks/gone.py
+++ b/benchmarks/gone.py
@@ -130,7 +130,7 @@
                 loop.call_at(moment, lambda at=at: owners.append(Owner(loop, ("127.0.0.1", port), at, dice)))
             until = loop.now_ns() + (FLOOD_S + 3) * S
             while loop.now_ns() < until:
-                loop.turn(50 * MS)
+                loop.run_once(50 * MS)
         finally:
             child.terminate()
             child.wait(10)
--- a/benchmarks/losses.py
+++ b/benchmarks/losses.py
@@ -245,7 +245,7 @@
 def run_for(loop: Loop, seconds: float) -> None:
     until = loop.now_ns() + round(seconds * S)
     while loop.now_ns() < until:
-        loop.turn(50 * MS)
+        loop.run_once(50 * MS)
 
 
 def row(at: int) -> Entry:
--- a/ladderhub/cli/daemons.py
+++ b/ladderhub/cli/daemons.py
@@ -26,7 +26,7 @@
 @click.argument("file", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 def serve(file: Path) -> None:
     """Run one scheduler daemon with the settings in FILE.  SIGTERM settles what was taken, then ends it."""
-    from ladderhub.loop.http import HttpDoor, Page
+    from ladderhub.loop.http import HttpServer, Page
     from ladderhub.server.daemon import Daemon
     from ladderhub.usage.accounted import AccountedLoop
     from ladderhub.usage.processor import Cause, ProcessorTime
@@ -54,7 +54,7 @@
                 "/health": lambda: (503, "text/plain", b"stopping\n") if daemon.stopping
                 else (200, "text/plain", b"ok\n"),
             }  # fmt: skip
-            processor.run(Cause.LOG_METRICS, HttpDoor, loop, settings.http, pages)
+            processor.run(Cause.LOG_METRICS, HttpServer, loop, settings.http, pages)
     except LadderhubError as fault:
         fail(fault, f"ladderhub: {file}: cannot start")
     except (OSError, ValueError) as fault:
--- a/ladderhub/directory/service.py
+++ b/ladderhub/directory/service.py
@@ -175,7 +175,7 @@
         self._timer = self.loop.call_later(PUSH_INTERVAL_NS, self._push_lists)
 
     def _send_update(self, peer: _Peer) -> None:
-        if peer.stream.backed_up():
+        if peer.stream.is_backed_up():
             return
         since, until = self._watchers[peer], self._advance_visible_version()
         settled = self.loop.now_ns() >= self._settled_ns
--- a/ladderhub/lab/fleet.py
+++ b/ladderhub/lab/fleet.py
@@ -211,7 +211,7 @@
     def run_for(self, span_ns: int) -> None:
         until = self.loop.now_ns() + span_ns
         while self.loop.now_ns() < until:
-            self.loop.turn(min(20 * MS, max(0, until - self.loop.now_ns())))
+            self.loop.run_once(min(20 * MS, max(0, until - self.loop.now_ns())))
 
     def run_until(self, done: Callable[[], bool], most_ns: int) -> bool:
         """Turn the loop until `done` says so; False where time ran out."""
@@ -219,7 +219,7 @@
         while not done():
             if self.loop.now_ns() >= until:
                 return False
-            self.loop.turn(10 * MS)
+            self.loop.run_once(10 * MS)
         return True
 
     def start(self) -> None:
--- a/ladderhub/lab/generator.py
+++ b/ladderhub/lab/generator.py
@@ -64,7 +64,7 @@
 
     one(start)
     while loop.now_ns() < end or (ended < sent.submitted and loop.now_ns() < end + SETTLE_NS):
-        loop.turn(10_000_000)
+        loop.run_once(10_000_000)
     return sent
 
 
--- a/ladderhub/lab/load.py
+++ b/ladderhub/lab/load.py
@@ -350,7 +350,7 @@
             while begun < count or running:
                 while running < side and begun < count:
                     begin()
-                loop.turn(10 * MS)
+                loop.run_once(10 * MS)
             say(f"{len(jobs)} of {count} acknowledged; settling")
             fleet.run_until(lambda: all(job in told for job in jobs), 60 * S)
             fleet.run_for(1 * S)
--- a/ladderhub/loop/core.py
+++ b/ladderhub/loop/core.py
@@ -114,7 +114,7 @@
         else:
             self._selector.register(fd, events, call)
 
-    def unseen_since_ns(self, fd: int) -> int:
+    def earliest_arrival_ns(self, fd: int) -> int:
         """What is read now from this descriptor has come since then, if all before that had been read."""
         return self._ready_since.get(fd, self._look_ns)
 
@@ -175,12 +175,12 @@
     def run(self) -> None:
         self._running = True
         while self._running:
-            self.turn()
+            self.run_once()
 
     def stop(self) -> None:
         self._running = False
 
-    def turn(self, most_wait_ns: int = IDLE_WAIT_NS) -> None:
+    def run_once(self, most_wait_ns: int = IDLE_WAIT_NS) -> None:
         """One round: wait for what is ready, at most so long, and handle what of it fits into a round; then
         timers that are due, then what was put off."""
         self.rounds += 1
--- a/ladderhub/loop/http.py
+++ b/ladderhub/loop/http.py
@@ -16,7 +16,7 @@
 _WORDS = {200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 503: "Unavailable"}
 
 
-class HttpDoor:
+class HttpServer:
     """Serves `pages` (path to a call that gives status, content type and body), one request a connection."""
 
     def __init__(self, loop: Loop, address: Address, pages: dict[str, Page]) -> None:
--- a/ladderhub/loop/listener.py
+++ b/ladderhub/loop/listener.py
@@ -9,7 +9,7 @@
 from ladderhub.loop.core import READ, Loop
 from ladderhub.loop.stream import Address
 
-ACCEPT_MOST = 64  # callers each round, or as many as come within
+MAX_ACCEPTS_PER_ROUND = 64  # callers each round, or as many as come within
 ACCEPT_NS = 10_000_000
 BACKLOG = 1024  # callers that may wait to be accepted
 CAPACITY = BACKLOG + 1  # as Linux counts it
@@ -49,7 +49,7 @@
         more = True
         self._look_at_queue()
         until_ns = self.loop.now_ns() + ACCEPT_NS
-        for _ in range(ACCEPT_MOST):
+        for _ in range(MAX_ACCEPTS_PER_ROUND):
             now = self.loop.now_ns()
             if now >= until_ns:
                 break
@@ -66,7 +66,7 @@
         return self.loop.now_ns() - self.waited_since_ns if more else 0
 
     def _look_at_queue(self) -> None:
-        unseen_ns = self.loop.unseen_since_ns(self.sock.fileno())
+        unseen_ns = self.loop.earliest_arrival_ns(self.sock.fileno())
         if unseen_ns > self._left_ns:  # the loop has looked since, and nobody waited
             self._queue.looked(unseen_ns, 0)
         now = self.loop.now_ns()
--- a/ladderhub/loop/stream.py
+++ b/ladderhub/loop/stream.py
@@ -9,9 +9,9 @@
 
 from ladderhub.loop.core import READ, WRITE, Loop, Timer
 
-READ_MOST = 256 * 1024
+MAX_READ_BYTES = 256 * 1024
 WRITE_HIGH = 256 * 1024  # above this the reader of requests is paused: back-pressure
-WRITE_MOST = 16 * 1024 * 1024  # above this the peer does not read: the connection is given up
+MAX_UNSENT_BYTES = 16 * 1024 * 1024  # above this the peer does not read: the connection is given up
 REST_MOST = 16 * 1024 * 1024  # of a broken connection: beyond what any kernel holds unread
 REST_LEAST = 64 * 1024  # what each try to read it counts for, so that the tries end
 # What a call on a good socket may fail with for a moment, as the kernel is busy or short of memory.
@@ -54,12 +54,12 @@
         sock: socket.socket | _NoSocket,
         handler: Handler,
         connecting: bool = False,
-        read_most: int = READ_MOST,
+        max_read_bytes: int = MAX_READ_BYTES,
         first: bool = False,
     ) -> None:
-        """`read_most`: bytes taken at a time, so that one busy peer leaves the others their turn.  `first`:
-        read before others."""
-        self.loop, self.sock, self.handler, self._read_most = loop, sock, handler, read_most
+        """`max_read_bytes`: bytes taken at a time, so that one busy peer leaves the others their turn.
+        `first`: read before others."""
+        self.loop, self.sock, self.handler, self._max_read_bytes = loop, sock, handler, max_read_bytes
         self._first = first
         self.connected = not connecting
         self.closed = False
@@ -111,20 +111,20 @@
                 return
         self._out.append(data)
         self._out_size += len(data)
-        if self._out_size > WRITE_MOST:
+        if self._out_size > MAX_UNSENT_BYTES:
             self.fail(BufferError("the peer does not read"))
         self._watch()
 
-    def sendable(self) -> bool:
+    def can_send(self) -> bool:
         """Whether what is written now can still reach the peer, as far as is known."""
         ending = self.closed or self._closing or self._finishing or self._failing
         return self.connected and not ending
 
-    def unread(self) -> bool:
+    def has_unread(self) -> bool:
         """Whether bytes of the peer wait here that no callback has been given yet."""
         return bool(self._peek())
 
-    def ended(self) -> bool:
+    def is_at_eof(self) -> bool:
         """Whether the peer has closed or reset, and nothing that it said before is left to read."""
         return self._peek() == b""
 
@@ -146,7 +146,7 @@
                 return
             most -= taken
 
-    def unsent(self) -> bool:
+    def has_unsent(self) -> bool:
         """Whether bytes wait for the peer to take them."""
         return bool(self._out)
 
@@ -156,7 +156,7 @@
             self._paused = paused
             self._watch()
 
-    def backed_up(self) -> bool:
+    def is_backed_up(self) -> bool:
         return self._out_size > WRITE_HIGH
 
     def close(self) -> None:
@@ -231,7 +231,7 @@
     def _wanted_events(self) -> int:
         if self._failing:
             return 0
-        reading = self.connected and not self._paused and not self._closing and not self.backed_up()
+        reading = self.connected and not self._paused and not self._closing and not self.is_backed_up()
         return (READ if reading else 0) | (WRITE if self._out or not self.connected else 0)
 
     def _ready(self, events: int) -> None:
@@ -255,7 +255,7 @@
     def _read(self) -> int:
         """Hand over what has come, a portion at most; how many bytes that were."""
         try:
-            data = self._socket().recv(self._read_most)
+            data = self._socket().recv(self._max_read_bytes)
             if data:
                 self.handler.on_data(self, data)
             else:
--- a/ladderhub/platform/config.py
+++ b/ladderhub/platform/config.py
@@ -16,7 +16,7 @@
 from ladderhub.loop import parse_address
 from ladderhub.loop.stream import Address
 from ladderhub.platform.mapping import NameIndex
-from ladderhub.signalling.journal import Entry, JournalEvent, event_of
+from ladderhub.signalling.journal import Entry, JournalEvent, decode_entry
 from ladderhub.translate import FieldError, read_object, read_settings
 
 MS = 1_000_000
@@ -112,7 +112,7 @@
         sockets=file.limits.sockets,
         settings=settings,
         names=names,
-        known=tuple(event_of(entry) for entry in file.known.entries),
+        known=tuple(decode_entry(entry) for entry in file.known.entries),
         pos=file.known.pos,
         dials_cost=bool(prices.get("handshake")),
         connect_ns=int(limits.get("dial-timeout-ns") or 250 * MS),
--- a/ladderhub/platform/conn.py
+++ b/ladderhub/platform/conn.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from ladderhub.loop import Loop, Stream, Timer
-from ladderhub.loop.stream import READ_MOST
+from ladderhub.loop.stream import MAX_READ_BYTES
 from ladderhub.platform.report import Report
 from ladderhub.signalling import BinaryReader, Leg, Message, SignalError
 
@@ -143,13 +143,13 @@
         Called before a timeout is acted on: the peer's message may lie here unread because this process was
         paused or is behind."""
         if self.stream is not None:
-            self.stream.read_now(READ_MOST)
+            self.stream.read_now(MAX_READ_BYTES)
 
     def on_closed(self, stream: Stream, fault: BaseException | None) -> None:
         self.link.on_closed(self, fault)
 
     def is_live(self) -> bool:
-        return self.stream is not None and self.stream.sendable() and not self.closing
+        return self.stream is not None and self.stream.can_send() and not self.closing
 
     def is_writable(self) -> bool:
         """Whether a set-up may be written on it now.
@@ -160,7 +160,7 @@
             self.ping_timer is None
             and self.is_live()
             and self.stream is not None
-            and not self.stream.unsent()
+            and not self.stream.has_unsent()
         )
 
     def is_idle(self) -> bool:
--- a/ladderhub/platform/connection_choice.py
+++ b/ladderhub/platform/connection_choice.py
@@ -17,7 +17,7 @@
     for conn in reversed(conns):
         fit = conn.reusable and conn.is_idle() and conn.ping_timer is None and conn.can_carry(offer)
         fit = fit and not _is_stale(conn, now_ns, idle_timeout_ns)
-        if fit and conn.stream is not None and not conn.stream.ended():
+        if fit and conn.stream is not None and not conn.stream.is_at_eof():
             return conn
     return None
 
--- a/ladderhub/platform/follower.py
+++ b/ladderhub/platform/follower.py
@@ -8,7 +8,7 @@
 from ladderhub.loop.stream import Address, connect
 from ladderhub.platform.report import Report
 from ladderhub.signalling import JournalEvent, JournalReader
-from ladderhub.signalling.journal import EVENT_MOST
+from ladderhub.signalling.journal import MAX_EVENT_BYTES
 
 MS = 1_000_000
 S = 1_000 * MS
@@ -18,7 +18,7 @@
 LOOK_NS = 100 * MS
 # Before a set-up leaves, what the service told meanwhile is read, if the last look is older than this.
 FRESH_NS = 2 * MS
-READ_MOST = EVENT_MOST
+READ_MOST = MAX_EVENT_BYTES
 # At a start what was told meanwhile comes at once after the question; where nothing has come after so many
 # times what the connection took, there is nothing.
 CAUGHT_UP_TIMES = 4
--- a/ladderhub/platform/link.py
+++ b/ladderhub/platform/link.py
@@ -183,7 +183,7 @@
 
     def adopt(self, offer: Offer) -> None:
         """Take over a task that already runs here, handed over by its owner."""
-        offer.leg.step(Step.HANDED)
+        offer.leg.step(Step.ADOPT)
         offer.started = offer.written = True
         if not self.running:
             self.liveness.last_heard_ns = self.loop.now_ns()
--- a/ladderhub/platform/links.py
+++ b/ladderhub/platform/links.py
@@ -70,7 +70,7 @@
         for needed in (False, True):
             for conn in self._connected:
                 matches = conn.is_idle() and conn.link.is_needed(conn) is needed
-                if matches and conn.stream is not None and not conn.stream.unread():
+                if matches and conn.stream is not None and not conn.stream.has_unread():
                     conn.closed_for_room = True
                     self.report.count("machine.let_go")
                     conn.stream.abort(None)
@@ -110,7 +110,7 @@
 
     def count_unsent(self) -> int:
         """The number of connections with bytes that are not sent yet."""
-        return sum(conn.stream is not None and conn.stream.unsent() for conn in self._connected)
+        return sum(conn.stream is not None and conn.stream.has_unsent() for conn in self._connected)
 
     def read_pending(self) -> None:
         """Read and handle what machines have sent so far."""
--- a/ladderhub/platform/ownerconn.py
+++ b/ladderhub/platform/ownerconn.py
@@ -13,13 +13,13 @@
 from ladderhub.platform.task import Task
 from ladderhub.platform.tasks import Tasks
 from ladderhub.signalling import Cause, Kind, LineReader, Message, SignalError, encode_line
-from ladderhub.signalling.table import MESSAGE_MOST
+from ladderhub.signalling.table import MAX_MESSAGE_BYTES
 
 MS = 1_000_000
 # A set-up counts as taken once its last byte is written, read or not.  So after what can't be used a
 # connection is still read for as long as a set-up may cross its close, and each is told that it failed.
 CROSSING_NS = 50 * MS
-PORTION = MESSAGE_MOST  # bytes of one connection that are read at a time
+PORTION = MAX_MESSAGE_BYTES  # bytes of one connection that are read at a time
 LOOK_MOST = 64 * PORTION  # and that are read before a task of its owner is sent on
 
 
@@ -62,14 +62,14 @@
         self._inbox: deque[Message | SignalError] = deque()  # read, and not yet acted on
         self.alive = True  # False once it is closed or about to be
         self.reader = LineReader()
-        self.stream = Stream(door.loop, sock, self, read_most=PORTION)
+        self.stream = Stream(door.loop, sock, self, max_read_bytes=PORTION)
         self.peer = self.stream.peer().rpartition(":")[0]
-        if self.stream.unread():
+        if self.stream.has_unread():
             self._unread_ns = door.unseen_since_ns()  # they came while it waited to be accepted
 
     def on_data(self, stream: Stream, data: bytes) -> None:
         self.heard_ns = self.door.loop.now_ns()
-        self.read_ns = self._unread_ns or self.door.loop.unseen_since_ns(stream.fileno())
+        self.read_ns = self._unread_ns or self.door.loop.earliest_arrival_ns(stream.fileno())
         self._unread_ns = self.read_ns if len(data) >= PORTION else 0
         found, end = self.reader.feed(data)
         self._inbox.extend(found)
@@ -173,4 +173,4 @@
     def idle(self) -> bool:
         """Nothing is open on it, and nothing has come that was not read yet: a set-up counts as taken once it
         was written, and closing over it would lose it."""
-        return not self.open and not self.stream.unread()
+        return not self.open and not self.stream.has_unread()
--- a/ladderhub/platform/owners.py
+++ b/ladderhub/platform/owners.py
@@ -130,8 +130,8 @@
         conns = [*self._conns, *self._closing]
         return {
             "ends": len(self._unheard) if self._conns else 0,
-            "unsent": sum(conn.stream.unsent() for conn in conns),
-            "unread": sum(conn.stream.unread() for conn in conns),
+            "unsent": sum(conn.stream.has_unsent() for conn in conns),
+            "unread": sum(conn.stream.has_unread() for conn in conns),
         }
 
     def close_read(self) -> bool:
@@ -261,7 +261,7 @@
             return
         conn.trust = max(conn.trust, Trust.CARRIED if asked.machine else Trust.ASKED)
         if known is not None:
-            if asked.machine and known.leg.state is State.STANDS:
+            if asked.machine and known.leg.state is State.ESTABLISHED:
                 known.line = conn  # held already; its owner may be reached here
             elif message.id in conn.open:
                 # Two set-ups under one id: no answer could be told to belong to the one or the other.
@@ -298,7 +298,7 @@
         if task is None:
             self._early.add(self.loop.now_ns(), message.id, cause)
             return
-        if task.leg.state is State.STANDS:
+        if task.leg.state is State.ESTABLISHED:
             conn.trust = max(conn.trust, Trust.TESTED)
             self.tasks.end_standing(task, cause)
             conn.put(Message(Kind.RELEASED, message.id))
--- a/ladderhub/platform/service.py
+++ b/ladderhub/platform/service.py
@@ -15,7 +15,7 @@
 from ladderhub import interface as api
 from ladderhub.decide import Scheduler
 from ladderhub.loop import Loop
-from ladderhub.loop.listener import ACCEPT_MOST
+from ladderhub.loop.listener import MAX_ACCEPTS_PER_ROUND
 from ladderhub.loop.stream import Address
 from ladderhub.platform.config import OWN_DESCRIPTORS, Config, ConfigError, address_of, load
 from ladderhub.platform.follower import Follower
@@ -52,7 +52,7 @@
         machines = config.sockets - owners - OWN_DESCRIPTORS
         # Machines have the rest for sure, and what owners don't use, less a round of new callers; for each
         # of those a connection to a machine is let go.
-        spare = config.sockets - OWN_DESCRIPTORS - ACCEPT_MOST
+        spare = config.sockets - OWN_DESCRIPTORS - MAX_ACCEPTS_PER_ROUND
         self.links = Links(
             loop, report, self.tasks, config.connect_ns, config.idle_ns,
             max_connections=lambda: max(machines, spare - self.door.count()),
@@ -121,7 +121,7 @@
             return
         entries: list[api.MachineEntry] = []
         addresses: list[Address] = []
-        spoilt = list(event.spoilt)
+        spoilt = list(event.invalid_rows)
         for row in event.rows:
             try:
                 entry, address = self._config.names.to_machine_entry(row), address_of(row.address, row.name)
--- a/ladderhub/platform/tasks.py
+++ b/ladderhub/platform/tasks.py
@@ -101,7 +101,7 @@
     def adopt(self, line: OwnerLine, asked: Asked) -> Task:
         """A task that stands already and is now this scheduler's to look after."""
         task = self._new(line, asked, self._loop.now_ns())  # nobody waits for it
-        task.leg.step(Step.HANDED)
+        task.leg.step(Step.ADOPT)
         task.offer = offer = self._offer(task, asked.machine, task.until_ns)
         self._tell(DeferredEvent(lambda now: api.TaskOpen(self._asked_event(task, now), asked.machine)))
         self._report.count("adopted")
@@ -139,7 +139,7 @@
 
     def end_standing(self, task: Task, cause: int) -> None:
         """Its owner ends a task that runs.  The machine is told; its word on the end still comes."""
-        if task.leg.state is not State.STANDS or task.offer is None:
+        if task.leg.state is not State.ESTABLISHED or task.offer is None:
             return
         self._report.count("owner.ended")
         self._settle(task, Step.RELEASE)
@@ -240,7 +240,7 @@
 
     def _move(self, number: int) -> None:
         task = self._by_number.get(number)
-        if task is None or task.leg.state is not State.STANDS or task.offer is None:
+        if task is None or task.leg.state is not State.ESTABLISHED or task.offer is None:
             return
         self._report.count("moved")
         self._settle(task, Step.MOVE)
@@ -329,7 +329,7 @@
     def _over(self, offer: Offer, cause: int, outcome: api.Outcome) -> None:
         """What stood is over: its owner is told, unless the owner ended it."""
         task = self._task_of(offer)
-        if task is None or task.leg.state is not State.STANDS:
+        if task is None or task.leg.state is not State.ESTABLISHED:
             return
         self._report.count(f"over.{outcome.name.lower()}")
         self._settle(task, Step.RELEASE)
--- a/ladderhub/server/clientlistener.py
+++ b/ladderhub/server/clientlistener.py
@@ -147,7 +147,7 @@
         """Write replies in order.  A long reply is written in pieces, so that the loop serves others between
         two pieces and a slow reader is waited for."""
         self.stream.pause(self._close_when_written or len(self._queued_replies) > MAX_QUEUED_REPLIES)
-        while self._queued_replies and not self.stream.closed and not self.stream.backed_up():
+        while self._queued_replies and not self.stream.closed and not self.stream.is_backed_up():
             reply = self._queued_replies[0]
             if isinstance(reply, bytes):
                 self.stream.write(reply)
--- a/ladderhub/server/nodelinks.py
+++ b/ladderhub/server/nodelinks.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from ladderhub.loop import Loop, Stream, Timer
-from ladderhub.loop.stream import READ_MOST, Address
+from ladderhub.loop.stream import MAX_READ_BYTES, Address
 from ladderhub.pbs.batch import Reply, ReplyParser, Request, encode_request
 from ladderhub.pbs.dis import DisError
 from ladderhub.server.offer import Offer, OfferResult
@@ -89,7 +89,7 @@
 
     def read_pending(self) -> None:
         """Read data that has arrived: a reply may be unread if this process was suspended or is behind."""
-        self.stream.read_now(READ_MOST)
+        self.stream.read_now(MAX_READ_BYTES)
 
     def detach(self) -> None:
         """Close the connection without a further call of the call's methods."""
--- a/ladderhub/signalling/binary.py
+++ b/ladderhub/signalling/binary.py
@@ -4,7 +4,7 @@
 
 import struct
 
-from ladderhub.signalling.table import MESSAGE_MOST, Code, Kind, Message, SignalError
+from ladderhub.signalling.table import MAX_MESSAGE_BYTES, Code, Kind, Message, SignalError
 
 _HEAD = struct.Struct(">HB8s")
 _PARAMETER = struct.Struct(">BH")
@@ -25,7 +25,7 @@
         value = message.description.encode()
         parts.append(_PARAMETER.pack(Code.DESCRIPTION, min(len(value), 0xFFFF)) + value)
     body = b"".join(parts)
-    if _HEAD.size + len(body) > MESSAGE_MOST:
+    if _HEAD.size + len(body) > MAX_MESSAGE_BYTES:
         raise SignalError("the message is too long", message.id)
     return _HEAD.pack(_BARE + len(body), message.kind, bytes.fromhex(message.id)) + body
 
@@ -47,7 +47,7 @@
         try:
             while len(data) - at >= _LENGTH_SIZE:
                 size = int.from_bytes(data[at : at + _LENGTH_SIZE], "big")
-                if not _BARE <= size <= MESSAGE_MOST - _LENGTH_SIZE:
+                if not _BARE <= size <= MAX_MESSAGE_BYTES - _LENGTH_SIZE:
                     raise SignalError(f"a message can't be {size} bytes long")
                 if len(data) - at > _LENGTH_SIZE and data[at + _LENGTH_SIZE] not in _KINDS:
                     raise SignalError(f"unknown message type {data[at + _LENGTH_SIZE]}")
--- a/ladderhub/signalling/journal.py
+++ b/ladderhub/signalling/journal.py
@@ -9,7 +9,7 @@
 from ladderhub.signalling.lines import LineSplitter
 from ladderhub.signalling.table import SignalError
 
-EVENT_MOST = 1024 * 1024  # one event may hold the whole list
+MAX_EVENT_BYTES = 1024 * 1024  # one event may hold the whole list
 
 
 class HostRow(msgspec.Struct):
@@ -51,7 +51,7 @@
     pos: int
     full: bool = False
     rows: tuple[HostRow, ...] | None = None
-    spoilt: tuple[tuple[str, str], ...] = ()
+    invalid_rows: tuple[tuple[str, str], ...] = ()
 
 
 _FAULTS = (msgspec.DecodeError, RecursionError, UnicodeDecodeError)
@@ -61,7 +61,7 @@
 _decoder: msgspec.json.Decoder[Entry | int] = msgspec.json.Decoder(Entry | int)
 
 
-def event_of(entry: Entry) -> JournalEvent:
+def decode_entry(entry: Entry) -> JournalEvent:
     if not bytes(entry.hosts):
         return JournalEvent(entry.pos)
     rows: list[HostRow] = []
@@ -91,7 +91,7 @@
         row = _decoder.decode(line)
     except _FAULTS as fault:
         raise SignalError(f"not a line of the journal: {fault}") from None
-    return JournalEvent(row) if isinstance(row, int) else event_of(row)
+    return JournalEvent(row) if isinstance(row, int) else decode_entry(row)
 
 
 class JournalReader:
@@ -101,11 +101,11 @@
 
     def __init__(self, pos: int) -> None:
         self.pos = pos
-        self._lines = LineSplitter(EVENT_MOST)
+        self._lines = LineSplitter(MAX_EVENT_BYTES)
 
     def start(self) -> bytes:
         """What to send on a new connection."""
-        self._lines = LineSplitter(EVENT_MOST)
+        self._lines = LineSplitter(MAX_EVENT_BYTES)
         return b"tail %d\n" % self.pos
 
     def pending(self) -> int:
--- a/ladderhub/signalling/lines.py
+++ b/ladderhub/signalling/lines.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ladderhub.signalling.table import MESSAGE_MOST, Kind, Message, SignalError, is_id
+from ladderhub.signalling.table import MAX_MESSAGE_BYTES, Kind, Message, SignalError, is_id
 
 _KINDS = {kind.name.lower(): kind for kind in Kind}
 _NAMES = {kind: name for name, kind in _KINDS.items()}
@@ -48,7 +48,7 @@
 class LineSplitter:
     """Cuts bytes into lines, and gathers no line over `most`."""
 
-    def __init__(self, most: int = MESSAGE_MOST) -> None:
+    def __init__(self, most: int = MAX_MESSAGE_BYTES) -> None:
         self._rest, self._most = b"", most
 
     def pending(self) -> int:
--- a/ladderhub/signalling/setup.py
+++ b/ladderhub/signalling/setup.py
@@ -12,7 +12,7 @@
 
     IDLE = "idle"
     SET_UP = "set up"
-    STANDS = "stands"
+    ESTABLISHED = "stands"
     OVER = "over"
 
 
@@ -20,19 +20,19 @@
     """What moves it.  `at` set-ups stand from the start; a give-up and a release differ only by state."""
 
     SETUP = "set-up"
-    HANDED = "set-up of a task that stands"
+    ADOPT = "set-up of a task that stands"
     ANSWER = "answer"
     RELEASE = "release"
     MOVE = "move"
 
 
-STEPS: dict[tuple[State, Step], State] = {
+TRANSITIONS: dict[tuple[State, Step], State] = {
     (State.IDLE, Step.SETUP): State.SET_UP,
-    (State.IDLE, Step.HANDED): State.STANDS,
-    (State.SET_UP, Step.ANSWER): State.STANDS,
+    (State.IDLE, Step.ADOPT): State.ESTABLISHED,
+    (State.SET_UP, Step.ANSWER): State.ESTABLISHED,
     (State.SET_UP, Step.RELEASE): State.OVER,
-    (State.STANDS, Step.RELEASE): State.OVER,
-    (State.STANDS, Step.MOVE): State.OVER,
+    (State.ESTABLISHED, Step.RELEASE): State.OVER,
+    (State.ESTABLISHED, Step.MOVE): State.OVER,
 }
 
 
@@ -44,11 +44,11 @@
     def __init__(self) -> None:
         self.state = State.IDLE
 
-    def may(self, step: Step) -> bool:
-        return (self.state, step) in STEPS
+    def can_step(self, step: Step) -> bool:
+        return (self.state, step) in TRANSITIONS
 
     def step(self, step: Step) -> None:
         """Take a step; SignalError where the state has no such step."""
-        if not self.may(step):
+        if not self.can_step(step):
             raise SignalError(f"no {step.value} where a set-up is {self.state.value}")
-        self.state = STEPS[self.state, step]
+        self.state = TRANSITIONS[self.state, step]
--- a/ladderhub/signalling/table.py
+++ b/ladderhub/signalling/table.py
@@ -7,7 +7,7 @@
 
 from ladderhub.errors.base import PROTOCOL, LadderhubError
 
-MESSAGE_MOST = 16 * 1024  # bytes of one message, in either encoding
+MAX_MESSAGE_BYTES = 16 * 1024  # bytes of one message, in either encoding
 ID_DIGITS = 16
 
 
--- a/tests/directory/test_lists.py
+++ b/tests/directory/test_lists.py
@@ -78,7 +78,7 @@
 
     def _run_loop(self) -> None:
         for _ in range(3):
-            self.loop.turn(1_000_000)
+            self.loop.run_once(1_000_000)
 
     def step(self) -> None:
         self.clock.advance(STEP_NS)
--- a/tests/directory/test_settling.py
+++ b/tests/directory/test_settling.py
@@ -45,7 +45,7 @@
         for _ in range(max(1, span_ns // (100 * MS))):
             self.clock.advance(min(span_ns, 100 * MS))
             for _ in range(4):
-                self.loop.turn(MS)
+                self.loop.run_once(MS)
 
     def lists(self, sock: socket.socket) -> list[Listed]:
         data = b""
--- a/tests/hard_cases/test_clients.py
+++ b/tests/hard_cases/test_clients.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from ladderhub.loop.http import HttpDoor
+from ladderhub.loop.http import HttpServer
 from ladderhub.pbs import names as n
 from ladderhub.pbs.batch import Request, encode_request
 from ladderhub.pbs.dis import number, string
@@ -69,7 +69,7 @@
     # Guards against a parser that raises, waits forever, or buffers as much as a header announces.
     world = make_world(1)
     daemon = world.daemon()
-    http = HttpDoor(world.loop, ("127.0.0.1", 0), {"/metrics": daemon.metrics.render_page})
+    http = HttpServer(world.loop, ("127.0.0.1", 0), {"/metrics": daemon.metrics.render_page})
     rng = random.Random(11)
     ports = (
         world.public, world.agents["node-1"].listener.address, world.directory.address, http.listener.address
--- a/tests/lab/test_hollow_schedulers.py
+++ b/tests/lab/test_hollow_schedulers.py
@@ -88,7 +88,7 @@
         for _ in range(seconds * S // STEP_NS):
             self.clock.advance(STEP_NS)
             for _turn in range(TURNS_PER_STEP):
-                self.loop.turn(0)
+                self.loop.run_once(0)
 
     def close(self) -> None:
         for member in self.hollow:
--- a/tests/lab/test_mesh.py
+++ b/tests/lab/test_mesh.py
@@ -111,7 +111,7 @@
     while not got[0] and loop.now_ns() < until:
         ends[0].send(b"there", relay.public(1))
         ends[1].send(b"back", relay.public(0))
-        loop.turn(10_000_000)
+        loop.run_once(10_000_000)
     assert got[0] and set(got[0]) == {b"back"} and not got[1] and relay.lost
     relay.close()
     for end in ends.values():
--- a/tests/peers/test_late_ticks.py
+++ b/tests/peers/test_late_ticks.py
@@ -36,7 +36,7 @@
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as peer:
         peer.sendto(encode(frame), transport.datagrams.address)
     for _ in range(4):
-        loop.turn(MS)
+        loop.run_once(MS)
     assert [type(event) for event in handled] == [MessageReceived, Tick]
     transport.close()
     loop.close()
--- a/tests/platform/bed.py
+++ b/tests/platform/bed.py
@@ -230,7 +230,7 @@
         self.service = Service(self.loop, config, report)
         self.service.start()
         while caught_up and not self.service.follower.caught_up:
-            self.loop.turn(MS)
+            self.loop.run_once(MS)
             self.clock.advance(MS)
         self.owner_address: tuple[str, int] = self.service.door.address()
         self._count = 0
@@ -240,7 +240,7 @@
         for turn in range(2000):
             if until is not None and until() and not span_ns:
                 return
-            self.loop.turn(2 * MS if span_ns <= 0 else MS // 2)
+            self.loop.run_once(2 * MS if span_ns <= 0 else MS // 2)
             if span_ns > 0:
                 step = min(span_ns, 20 * MS)
                 self.clock.advance(step)
--- a/tests/platform/process_bed.py
+++ b/tests/platform/process_bed.py
@@ -78,7 +78,7 @@
         for _ in range(ROUNDS_MOST):
             if until():
                 return
-            self.loop.turn(2 * MS)
+            self.loop.run_once(2 * MS)
         raise AssertionError(f"did not come about; log: {self.log()[-2000:]}")
 
     def setup(self, left_ms: int = 8000) -> Message:
--- a/tests/platform/soak.py
+++ b/tests/platform/soak.py
@@ -194,7 +194,7 @@
 
     def _turn(self, rounds: int) -> None:
         for _ in range(rounds):
-            self.bed.loop.turn(MS)
+            self.bed.loop.run_once(MS)
             self._send_again()
 
     def _pause(self) -> None:
--- a/tests/platform/test_crowd.py
+++ b/tests/platform/test_crowd.py
@@ -111,7 +111,7 @@
     bed.run(lambda: any(each.id == asked.id for each in owners[0].received(Kind.RELEASE)))
     os.kill(bed.child.pid, signal.SIGSTOP)
     for _ in range(50):
-        bed.loop.turn(MS)
+        bed.loop.run_once(MS)
     dialled = sum(len(each.conns) for each in bed.machines)
     os.kill(bed.child.pid, signal.SIGCONT)
     assert dialled <= 100  # a quarter of the crowd: it would be nearly all, were it placed first
--- a/tests/platform/test_journal.py
+++ b/tests/platform/test_journal.py
@@ -113,7 +113,7 @@
     bed.file["known"] = {"pos": 1, "entries": [event(1, *rows, full=True)]}
     bed.path.write_text(json.dumps(bed.file))
     (known,) = load(bed.environment).known  # and a scheduler starts on such a list
-    assert known.rows is not None and len(known.rows) + len(known.spoilt) == 2
+    assert known.rows is not None and len(known.rows) + len(known.invalid_rows) == 2
 
 
 def test_a_journal_that_only_accepts_is_not_dialled_without_a_pause(beds: Any) -> None:
--- a/tests/platform/test_owners.py
+++ b/tests/platform/test_owners.py
@@ -268,7 +268,7 @@
     bed.run()
     (conn,) = bed.service.door._conns
     bad.stream.pause(True)
-    while not conn.stream.unsent():
+    while not conn.stream.has_unsent():
         conn.stream.write(encode_line(Message(Kind.PROGRESS, "0" * 16)) * 1000)
     bad.send(b"noise\n")
     bed.run(span_ns=2 * S)
--- a/tests/platform/test_setups.py
+++ b/tests/platform/test_setups.py
@@ -226,7 +226,7 @@
     bed = beds(accept_all)
     owner = Owner(bed)
     place_task(bed, owner)
-    bed.loop.turn(0)
+    bed.loop.run_once(0)
     owner.send(bed.setup(left=2000))
     bed.clock.advance(300 * MS)
     bed.run(lambda: len(bed.machines[0].received(Kind.SETUP)) == 2)
--- a/tests/platform/test_stop.py
+++ b/tests/platform/test_stop.py
@@ -151,7 +151,7 @@
     (conn,) = bed.service.door._conns
     owner.stream.pause(True)
     owner.send(Message(Kind.PING, "0" * 16, 0))
-    while not conn.stream.unsent():
+    while not conn.stream.has_unsent():
         conn.stream.write(encode_line(Message(Kind.PROGRESS, "0" * 16)) * 1000)
     bed.service.stop()
     bed.run(span_ns=S)
--- a/tests/platform/test_waited.py
+++ b/tests/platform/test_waited.py
@@ -126,7 +126,7 @@
 
     bed = process_beds(*[hear] * 40, sockets=8192)
     for _ in range(REST_ROUNDS):
-        bed.loop.turn(MS)
+        bed.loop.run_once(MS)
     os.kill(bed.child.pid, signal.SIGSTOP)  # within a wait, as it has nothing to do
     written_s: dict[str, float] = {}
     owners = []
@@ -138,7 +138,7 @@
         written_s[asked.id] = time.monotonic()
     until_s = time.monotonic() + 1
     while time.monotonic() < until_s:
-        bed.loop.turn(MS)
+        bed.loop.run_once(MS)
     woken_s = time.monotonic()
     os.kill(bed.child.pid, signal.SIGCONT)
     bed.run(lambda: all(owner.messages for owner in owners))
--- a/tests/server/test_node_replies.py
+++ b/tests/server/test_node_replies.py
@@ -38,7 +38,7 @@
         conn, _ = self._server.accept()
         conn.settimeout(20)
         while not self._has_sent(conn):
-            self.loop.turn(1_000_000)
+            self.loop.run_once(1_000_000)
         return conn
 
     @staticmethod
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -14,14 +14,14 @@
 
 from ladderhub.loop import Listener, Loop, ManualClock, Stream
 from ladderhub.loop.core import READ
-from ladderhub.loop.stream import WRITE_MOST, connect
+from ladderhub.loop.stream import MAX_UNSENT_BYTES, connect
 
 S = 1_000_000_000
 
 
 def turns(loop: Loop, count: int = 40) -> None:
     for _ in range(count):
-        loop.turn(2_000_000)
+        loop.run_once(2_000_000)
 
 
 class Sink:
@@ -45,10 +45,10 @@
     fired: list[int] = []
     timers = [loop.call_at(at * S, fired.append, at) for at in (3, 1, 2, 4)]
     timers[2].cancel()
-    loop.turn(0)
+    loop.run_once(0)
     assert fired == []
     clock.advance(3 * S)
-    loop.turn(0)
+    loop.run_once(0)
     assert fired == [1, 3] and loop.pending_timers() == 1
 
 
@@ -91,7 +91,7 @@
     turns(loop, 3)
     good = socket.create_connection(listener.address)
     turns(loop, 3)
-    for _ in range(WRITE_MOST // (1 << 20) + 8):
+    for _ in range(MAX_UNSENT_BYTES // (1 << 20) + 8):
         streams[0].write(b"x" * (1 << 20))
     streams[1].write(b"quick")
     turns(loop, 5)
@@ -123,7 +123,7 @@
     for _ in range(200):
         if len(seen) == 2:
             break
-        loop.turn(20_000_000)
+        loop.run_once(20_000_000)
     assert set(seen) == {"signal", 3}
     loop.close()
     signal.signal(signal.SIGUSR1, old)
@@ -146,10 +146,10 @@
         theirs.send(b"x")
     timed: list[int] = []
     loop.call_at(clock.now_ns() + 10_000_000, lambda: timed.append(len(handled)))
-    loop.turn(0)
+    loop.run_once(0)
     assert handled[0] == 19 and timed and timed[0] < 6
     for _ in range(20):
-        loop.turn(0)
+        loop.run_once(0)
     assert set(handled) == set(range(20))
     for pair in pairs:
         for end in pair:
@@ -169,7 +169,7 @@
         clock.advance(S // 50)  # longer than a round may take: the others are left to the next one
 
     def late(fd: int) -> None:
-        since.append(loop.unseen_since_ns(fd))
+        since.append(loop.earliest_arrival_ns(fd))
         loop.watch(fd, 0, print)
 
     for _, end in pairs[:2]:
@@ -227,9 +227,9 @@
     loop._selector.close()
     loop._selector = selector(clock, S, lambda: writer.send(b"waits"))
     since: list[int] = []
-    loop.watch(reader.fileno(), READ, lambda _: since.append(loop.unseen_since_ns(reader.fileno())))
+    loop.watch(reader.fileno(), READ, lambda _: since.append(loop.earliest_arrival_ns(reader.fileno())))
     for _ in range(2):
-        loop.turn(wait_ns)
+        loop.run_once(wait_ns)
     assert since and begun_ns <= since[0] <= begun_ns + wait_ns
     loop.close()
     writer.close()
@@ -244,7 +244,7 @@
     loop._selector.close()
     loop._selector = selector = StoppedSelector(clock, 0, lambda: None)
     since: list[int] = []
-    loop.watch(reader.fileno(), READ, lambda _: since.append(loop.unseen_since_ns(reader.fileno())))
+    loop.watch(reader.fileno(), READ, lambda _: since.append(loop.earliest_arrival_ns(reader.fileno())))
 
     def long_round() -> None:
         clock.advance(S // 4)
@@ -254,7 +254,7 @@
     loop.call_later(0, long_round)
     begun_ns = clock.now_ns()
     for _ in range(2):
-        loop.turn(S // 10)
+        loop.run_once(S // 10)
     assert since == [begun_ns]
     loop.close()
     writer.close()
@@ -298,7 +298,7 @@
     assert there.recv(10) == b"one"
     flaky.failures = 3
     there.send(b"two")
-    assert not stream.ended()
+    assert not stream.is_at_eof()
     turns(loop, 10)
     assert bytes(sink.got) == b"two" and not sink.closed
     stream.abort()
@@ -318,7 +318,7 @@
 
     listener = Listener(loop, ("127.0.0.1", 0), accept)
     callers = [socket.create_connection(listener.address) for _ in range(30)]
-    loop.turn(2_000_000)
+    loop.run_once(2_000_000)
     assert 0 < len(accepted) <= 2
     turns(loop)
     assert len(accepted) == 30
--- a/tests/test_signalling.py
+++ b/tests/test_signalling.py
@@ -11,8 +11,8 @@
 from hypothesis import strategies as st
 
 from ladderhub.signalling import (
-    MESSAGE_MOST,
-    STEPS,
+    MAX_MESSAGE_BYTES,
+    TRANSITIONS,
     BinaryReader,
     Code,
     JournalReader,
@@ -77,7 +77,7 @@
 def test_no_bytes_make_a_reader_raise_or_gather_without_bound(data: bytes, cuts: list[int]) -> None:
     for kind in (BinaryReader, LineReader):
         whole, cut = read(kind(), [data]), read(kind(), portions(data, cuts))
-        assert whole[:2] == cut[:2] and max(whole[2], cut[2]) <= MESSAGE_MOST
+        assert whole[:2] == cut[:2] and max(whole[2], cut[2]) <= MAX_MESSAGE_BYTES
 
 
 @pytest.mark.parametrize(
@@ -100,7 +100,7 @@
 
 def test_a_message_that_would_be_too_long_is_not_written() -> None:
     with pytest.raises(SignalError):
-        encode_binary(Message(Kind.SETUP, ID, None, "x" * MESSAGE_MOST))
+        encode_binary(Message(Kind.SETUP, ID, None, "x" * MAX_MESSAGE_BYTES))
 
 
 def line(**fields: Any) -> bytes:
@@ -143,7 +143,7 @@
 
 def test_an_endless_line_is_not_gathered() -> None:
     _, ended, most = read(LineReader(), [b"x" * 1000] * 40)
-    assert ended and most <= MESSAGE_MOST
+    assert ended and most <= MAX_MESSAGE_BYTES
 
 
 def test_the_journal_drops_repeats_and_ends_at_a_gap() -> None:
@@ -168,9 +168,9 @@
     for state, step in product(State, Step):
         leg = Leg()
         leg.state = state
-        if (state, step) in STEPS:
+        if (state, step) in TRANSITIONS:
             leg.step(step)
-            assert leg.state is STEPS[state, step] and state is not State.OVER
+            assert leg.state is TRANSITIONS[state, step] and state is not State.OVER
         else:
             with pytest.raises(SignalError):
                 leg.step(step)
--- a/tests/test_stream_reset.py
+++ b/tests/test_stream_reset.py
@@ -14,7 +14,7 @@
 
 from ladderhub.loop import Listener, Loop, ManualClock, Stream
 from ladderhub.loop.core import READ
-from ladderhub.loop.stream import READ_MOST, connect
+from ladderhub.loop.stream import MAX_READ_BYTES, connect
 
 S = 1_000_000_000
 LINGER_RESET = struct.pack("ii", 1, 0)
@@ -61,7 +61,7 @@
 
     def turns(self, count: int) -> None:
         for _ in range(count):
-            self.loop.turn(2_000_000)
+            self.loop.run_once(2_000_000)
 
     def reset_then(self, call: Callable[[], object], last_words: bytes = LAST_WORDS) -> None:
         """The peer resets after the round's poll, and something else is done in the same round."""
@@ -100,7 +100,7 @@
 
 def test_a_failed_flush_loses_nothing_that_came_before_the_reset(connection: Connection) -> None:
     # Guards against ends dropped unread on a connection whose machine took nothing for a while.
-    while not connection.stream.unsent():
+    while not connection.stream.has_unsent():
         connection.stream.write(b"y" * 100_000)
     reset(connection.peer, LAST_WORDS)
     connection.turns(20)
@@ -109,7 +109,7 @@
 
 def test_more_than_one_portion_is_handed_over_in_order_after_a_failed_write(connection: Connection) -> None:
     # Guards against reading only once before the close.
-    words = bytes(at % 251 for at in range(READ_MOST + 100_000))
+    words = bytes(at % 251 for at in range(MAX_READ_BYTES + 100_000))
     sender = connection.peer
     sender.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4 * len(words))
     connection.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4 * len(words))  # type: ignore[union-attr]
@@ -167,7 +167,7 @@
     connecting = connect(loop, listener.address, sink, S)
     listener._accept_some()
     for _ in range(20):
-        loop.turn(2_000_000)
+        loop.run_once(2_000_000)
     assert bytes(sink.got) == LAST_WORDS and len(sink.closed) == 1
     assert connecting.closed
     listener.close()
@@ -190,7 +190,7 @@
     loop.watch(near.fileno(), READ, dial_and_stand_still)
     far.send(b"now")
     for _ in range(20):
-        loop.turn(2_000_000)
+        loop.run_once(2_000_000)
     assert bytes(sink.got) == LAST_WORDS and len(sink.closed) == 1
     listener.close()
     loop.close()
--- a/tests/usage/__init__.py
+++ b/tests/usage/__init__.py
@@ -14,4 +14,4 @@
     end = loop.now_ns() + 20 * S
     while not done():
         assert loop.now_ns() < end, "the awaited condition did not come true"
-        loop.turn(MS)
+        loop.run_once(MS)
--- a/tests/usage/test_processor.py
+++ b/tests/usage/test_processor.py
@@ -118,7 +118,7 @@
         until(loop, lambda: streams)
         with loop.processor.section(Cause.LISTS):
             streams[0].write(b"x" * 200_000)
-            assert streams[0].unsent()
+            assert streams[0].has_unsent()
         sock.sendall(b"hello")
         until(loop, lambda: seen)
         sock.shutdown(socket.SHUT_RDWR)
@@ -141,8 +141,8 @@
     for at, (read, write) in enumerate(ends):
         os.write(write, b"x")
         loop.watch(read, READ, partial(ready, at))
-    loop.turn(0)
-    loop.turn(0)
+    loop.run_once(0)
+    loop.run_once(0)
     assert len(called) == 1
     for pair in ends:
         for end in pair:
--- a/tests/world.py
+++ b/tests/world.py
@@ -117,13 +117,13 @@
         end = self.loop.now_ns() + round(seconds * S)
         while not done():
             assert self.loop.now_ns() < end, "the expected state was not reached in time"
-            self.loop.turn(5 * MS)
+            self.loop.run_once(5 * MS)
 
     def run_for(self, span_ns: int) -> None:
         """Run the loop for a duration."""
         end = self.loop.now_ns() + span_ns
         while self.loop.now_ns() < end:
-            self.loop.turn(min(5 * MS, max(0, end - self.loop.now_ns())))
+            self.loop.run_once(min(5 * MS, max(0, end - self.loop.now_ns())))
 
     # --- client requests ----------------------------------------------------------------------------------
 
