--- a/ladderhub/signalling/__init__.py
+++ b/ladderhub/signalling/__init__.py
@@ -1,9 +1,10 @@
-"""The signalling protocol of tasks, without I/O: bytes in, messages out, and back.
+"""The signalling protocol for tasks, without I/O: encodes messages to bytes and decodes bytes to messages.
 
-`table` has every message type, cause and parameter code once, `setup` the states of a set-up, `binary` and
-`lines` the two encodings (machines and owners), `journal` the lines of the journal service.  Nothing over
-`MAX_MESSAGE_BYTES` is gathered, and no length is believed before it is checked.  Must not import any other
-part of ladderhub, nor sockets, clocks or selectors.
+`table` defines the message types, causes and parameter codes, `setup` the state machine of a set-up, `binary`
+the encoding used with machines, `lines` the one used with owners, and `journal` the lines of the journal
+service.  The readers check each length before they use it, and buffer no more than the longest message or
+event.  Apart from the base of `errors` this package must not import any other part of ladderhub, nor
+sockets, clocks or selectors.
 """
 
 from ladderhub.signalling.binary import BinaryReader, encode_binary
--- a/ladderhub/signalling/binary.py
+++ b/ladderhub/signalling/binary.py
@@ -1,4 +1,7 @@
-"""The machines' encoding: `length:2 type:1 task:8`, then parameters `code:1 length:2 value`, big-endian."""
+"""The encoding used with machines: `length:2 type:1 task:8`, then parameters `code:1 length:2 value`.
+
+Sizes are in bytes; integers are big-endian.
+"""
 
 from __future__ import annotations
 
@@ -6,15 +9,15 @@
 
 from ladderhub.signalling.table import MAX_MESSAGE_BYTES, Code, Kind, Message, SignalError
 
-_HEAD = struct.Struct(">HB8s")
+_HEADER = struct.Struct(">HB8s")
 _PARAMETER = struct.Struct(">BH")
 _LENGTH_SIZE = 2
-_BARE = _HEAD.size - _LENGTH_SIZE  # what a message without parameters counts
-_KINDS = {int(kind): kind for kind in Kind}
+_MIN_LENGTH = _HEADER.size - _LENGTH_SIZE  # length field of a message without parameters
+_KINDS_BY_TYPE = {int(kind): kind for kind in Kind}
 
 
 def encode_binary(message: Message) -> bytes:
-    """One message; SignalError where it would be longer than a message may be."""
+    """Encode one message; SignalError if the result exceeds the maximum length."""
     parts = []
     for code, text in message.values.items():
         value = text.encode()
@@ -25,54 +28,54 @@
         value = message.description.encode()
         parts.append(_PARAMETER.pack(Code.DESCRIPTION, min(len(value), 0xFFFF)) + value)
     body = b"".join(parts)
-    if _HEAD.size + len(body) > MAX_MESSAGE_BYTES:
+    if _HEADER.size + len(body) > MAX_MESSAGE_BYTES:
         raise SignalError("the message is too long", message.id)
-    return _HEAD.pack(_BARE + len(body), message.kind, bytes.fromhex(message.id)) + body
+    return _HEADER.pack(_MIN_LENGTH + len(body), message.kind, bytes.fromhex(message.id)) + body
 
 
 class BinaryReader:
-    """Gathers at most one message.  After a SignalError it is of no further use."""
+    """Incremental decoder that buffers at most one message.  It can't be used after a SignalError."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._buffer = b""
 
     def pending(self) -> int:
-        """Bytes of a message that has not come whole."""
-        return len(self._rest)
+        """Number of buffered bytes of an incomplete message."""
+        return len(self._buffer)
 
     def feed(self, data: bytes) -> tuple[list[Message], SignalError | None]:
-        """The messages that came whole, and what ended the reading if something did."""
-        data, found, at = self._rest + data, [], 0
-        self._rest = b""
+        """Decode more input: the messages completed by it, and the error that ends the reading, if any."""
+        data, messages, offset = self._buffer + data, [], 0
+        self._buffer = b""
         try:
-            while len(data) - at >= _LENGTH_SIZE:
-                size = int.from_bytes(data[at : at + _LENGTH_SIZE], "big")
-                if not _BARE <= size <= MAX_MESSAGE_BYTES - _LENGTH_SIZE:
-                    raise SignalError(f"a message can't be {size} bytes long")
-                if len(data) - at > _LENGTH_SIZE and data[at + _LENGTH_SIZE] not in _KINDS:
-                    raise SignalError(f"unknown message type {data[at + _LENGTH_SIZE]}")
-                end = at + _LENGTH_SIZE + size
+            while len(data) - offset >= _LENGTH_SIZE:
+                size = int.from_bytes(data[offset : offset + _LENGTH_SIZE], "big")
+                if not _MIN_LENGTH <= size <= MAX_MESSAGE_BYTES - _LENGTH_SIZE:
+                    raise SignalError(f"invalid message length: {size} bytes")
+                if len(data) - offset > _LENGTH_SIZE and data[offset + _LENGTH_SIZE] not in _KINDS_BY_TYPE:
+                    raise SignalError(f"unknown message type {data[offset + _LENGTH_SIZE]}")
+                end = offset + _LENGTH_SIZE + size
                 if len(data) < end:
                     break
-                found.append(_read(data[at:end]))
-                at = end
-        except SignalError as fault:
-            return found, fault
-        self._rest = data[at:]
-        return found, None
+                messages.append(_decode_message(data[offset:end]))
+                offset = end
+        except SignalError as error:
+            return messages, error
+        self._buffer = data[offset:]
+        return messages, None
 
 
-def _read(data: bytes) -> Message:
-    _, kind, number = _HEAD.unpack_from(data)
-    message = Message(_KINDS[kind], number.hex())
-    at = _HEAD.size
-    while at < len(data):
-        if len(data) - at < _PARAMETER.size:
-            raise SignalError("a parameter is cut short", message.id)
-        code, size = _PARAMETER.unpack_from(data, at)
-        at += _PARAMETER.size
-        value = data[at : at + size]
-        at += size
+def _decode_message(data: bytes) -> Message:
+    _, kind, task_id = _HEADER.unpack_from(data)
+    message = Message(_KINDS_BY_TYPE[kind], task_id.hex())
+    offset = _HEADER.size
+    while offset < len(data):
+        if len(data) - offset < _PARAMETER.size:
+            raise SignalError("truncated parameter", message.id)
+        code, size = _PARAMETER.unpack_from(data, offset)
+        offset += _PARAMETER.size
+        value = data[offset : offset + size]
+        offset += size
         if len(value) < size:
             raise SignalError("a parameter is longer than its message", message.id)
         if code == Code.CAUSE:
@@ -83,7 +86,7 @@
         try:
             text = value.decode()
         except UnicodeDecodeError:
-            raise SignalError(f"parameter {code} is not text", message.id) from None
+            raise SignalError(f"parameter {code} is not valid UTF-8", message.id) from None
         if code == Code.DESCRIPTION:
             message.description = text
         else:
--- a/ladderhub/signalling/journal.py
+++ b/ladderhub/signalling/journal.py
@@ -1,4 +1,7 @@
-"""The journal service's lines: numbered events on the list of machines, and a bare number each second."""
+"""Decodes the journal service's lines: numbered changes of the list of machines.
+
+Each second the service also sends a line with only the number of its last event.
+"""
 
 from __future__ import annotations
 
@@ -9,12 +12,12 @@
 from ladderhub.signalling.lines import LineSplitter
 from ladderhub.signalling.table import SignalError
 
-MAX_EVENT_BYTES = 1024 * 1024  # one event may hold the whole list
+MAX_EVENT_BYTES = 1024 * 1024  # an event may contain the full list of machines
 
 
 class HostRow(msgspec.Struct):
-    """One machine as an event has it.  `since_ms` is its late start in Unix milliseconds, or 0; `left_over`
-    the cores and the memory that nobody has asked for."""
+    """One machine in an event.  `since_ms`: its last start in Unix milliseconds, 0 for long ago.
+    `left_over`: the cores and the memory that no task has requested."""
 
     name: str
     address: str
@@ -29,11 +32,11 @@
 
 class Hosts(msgspec.Struct):
     snapshot: bool = False
-    endpoints: list[msgspec.Raw] = []  # read one by one: a row that can't be used leaves the others in force
+    endpoints: list[msgspec.Raw] = []  # decoded one by one: an invalid row does not invalidate the others
 
 
 class Entry(msgspec.Struct):
-    """One event as it stands in the configuration and on a line."""
+    """One event, as encoded in the configuration and on a line."""
 
     pos: int
     hosts: msgspec.Raw = msgspec.Raw()
@@ -45,8 +48,9 @@
 
 @dataclass(frozen=True, slots=True)
 class JournalEvent:
-    """Event number `pos`; `rows` None where the line held the last number alone.  `spoilt`: rows that can't
-    be used, each by its machine's name, '' where that can't be told, and why."""
+    """Event number `pos`.  `full`: it contains the whole list.  `rows`: None if the line contains only the
+    number.  `invalid_rows`: for each row that can't be decoded, the machine's name (empty if unknown) and the
+    reason."""
 
     pos: int
     full: bool = False
@@ -54,79 +58,80 @@
     invalid_rows: tuple[tuple[str, str], ...] = ()
 
 
-_FAULTS = (msgspec.DecodeError, RecursionError, UnicodeDecodeError)
-_hosts: msgspec.json.Decoder[Hosts] = msgspec.json.Decoder(Hosts)
-_row: msgspec.json.Decoder[HostRow] = msgspec.json.Decoder(HostRow)
-_named: msgspec.json.Decoder[_Named] = msgspec.json.Decoder(_Named)
-_decoder: msgspec.json.Decoder[Entry | int] = msgspec.json.Decoder(Entry | int)
+_DECODE_ERRORS = (msgspec.DecodeError, RecursionError, UnicodeDecodeError)
+_hosts_decoder: msgspec.json.Decoder[Hosts] = msgspec.json.Decoder(Hosts)
+_row_decoder: msgspec.json.Decoder[HostRow] = msgspec.json.Decoder(HostRow)
+_name_decoder: msgspec.json.Decoder[_Named] = msgspec.json.Decoder(_Named)
+_line_decoder: msgspec.json.Decoder[Entry | int] = msgspec.json.Decoder(Entry | int)
 
 
 def decode_entry(entry: Entry) -> JournalEvent:
+    """Decode the rows of an event.  Errors are reported in the event, not raised."""
     if not bytes(entry.hosts):
         return JournalEvent(entry.pos)
     rows: list[HostRow] = []
-    spoilt: list[tuple[str, str]] = []
+    invalid_rows: list[tuple[str, str]] = []
     try:
-        hosts = _hosts.decode(entry.hosts)
-    except _FAULTS as fault:
-        return JournalEvent(entry.pos, False, (), (("", str(fault)),))
+        hosts = _hosts_decoder.decode(entry.hosts)
+    except _DECODE_ERRORS as error:
+        return JournalEvent(entry.pos, False, (), (("", str(error)),))
     for raw in hosts.endpoints:
         try:
-            rows.append(_row.decode(raw))
-        except _FAULTS as fault:
-            spoilt.append((_name_of(raw), str(fault)))
-    return JournalEvent(entry.pos, hosts.snapshot, tuple(rows), tuple(spoilt))
+            rows.append(_row_decoder.decode(raw))
+        except _DECODE_ERRORS as error:
+            invalid_rows.append((_extract_name(raw), str(error)))
+    return JournalEvent(entry.pos, hosts.snapshot, tuple(rows), tuple(invalid_rows))
 
 
-def _name_of(raw: msgspec.Raw) -> str:
+def _extract_name(raw: msgspec.Raw) -> str:
     try:
-        return _named.decode(raw).name
-    except _FAULTS:
+        return _name_decoder.decode(raw).name
+    except _DECODE_ERRORS:
         return ""
 
 
 def decode_event(line: bytes) -> JournalEvent:
-    """One line; SignalError where it is none."""
+    """Decode one line; SignalError if it is invalid."""
     try:
-        row = _decoder.decode(line)
-    except _FAULTS as fault:
-        raise SignalError(f"not a line of the journal: {fault}") from None
+        row = _line_decoder.decode(line)
+    except _DECODE_ERRORS as error:
+        raise SignalError(f"not a line of the journal: {error}") from None
     return JournalEvent(row) if isinstance(row, int) else decode_entry(row)
 
 
 class JournalReader:
-    """Reads lines and keeps to the order of numbers: repeats are dropped, a gap ends the reading.
+    """Decodes lines and checks the event numbers: repeated events are dropped, a gap ends the reading.
 
-    `pos` is the last event that came whole; a new connection goes on from there."""
+    `pos` is the number of the last complete event; a new connection continues after it."""
 
     def __init__(self, pos: int) -> None:
         self.pos = pos
         self._lines = LineSplitter(MAX_EVENT_BYTES)
 
     def start(self) -> bytes:
-        """What to send on a new connection."""
+        """Reset the buffer for a new connection, and return the request to send on it."""
         self._lines = LineSplitter(MAX_EVENT_BYTES)
         return b"tail %d\n" % self.pos
 
     def pending(self) -> int:
-        """Bytes of a line that has not come whole."""
+        """Number of buffered bytes of an incomplete line."""
         return self._lines.pending()
 
     def feed(self, data: bytes) -> tuple[list[JournalEvent], SignalError | None]:
-        """The new events in order, and what ended the reading if something did."""
-        lines, end = self._lines.feed(data)
-        found: list[JournalEvent] = []
+        """Decode more input: the new events in order, and the error that ends the reading, if any."""
+        lines, end_error = self._lines.feed(data)
+        events: list[JournalEvent] = []
         for line in lines:
             try:
                 event = decode_event(line)
-            except SignalError as fault:
-                return found, fault
+            except SignalError as error:
+                return events, error
             if event.rows is None:
                 if event.pos > self.pos:
-                    return found, SignalError(f"event {self.pos + 1} was left out")
+                    return events, SignalError(f"event {self.pos + 1} is missing")
             elif event.pos > self.pos + 1:
-                return found, SignalError(f"event {self.pos + 1} was left out")
+                return events, SignalError(f"event {self.pos + 1} is missing")
             elif event.pos == self.pos + 1:
                 self.pos = event.pos
-                found.append(event)
-        return found, end
+                events.append(event)
+        return events, end_error
--- a/ladderhub/signalling/setup.py
+++ b/ladderhub/signalling/setup.py
@@ -1,4 +1,4 @@
-"""The states of a set-up on one leg, owner to scheduler or scheduler to machine, in one table."""
+"""The state machine of a set-up on one leg: from owner to scheduler, or from scheduler to machine."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class State(Enum):
-    """Where a set-up is: not begun, asked and unanswered, answered and running, ended."""
+    """State of a set-up: not sent, sent and unanswered, answered with the task running, ended."""
 
     IDLE = "idle"
     SET_UP = "set up"
@@ -17,7 +17,8 @@
 
 
 class Step(Enum):
-    """What moves it.  `at` set-ups stand from the start; a give-up and a release differ only by state."""
+    """Events that change the state.  A set-up with a field `at` is for a task that runs already, so it is
+    established from the start.  A release before the answer withdraws the set-up; it is the same step."""
 
     SETUP = "set-up"
     ADOPT = "set-up of a task that stands"
@@ -37,7 +38,7 @@
 
 
 class Leg:
-    """One set-up's state."""
+    """The state of one set-up on one leg."""
 
     __slots__ = ("state",)
 
@@ -48,7 +49,7 @@
         return (self.state, step) in TRANSITIONS
 
     def step(self, step: Step) -> None:
-        """Take a step; SignalError where the state has no such step."""
+        """Change the state; SignalError if the step is not allowed in the current state."""
         if not self.can_step(step):
-            raise SignalError(f"no {step.value} where a set-up is {self.state.value}")
+            raise SignalError(f"{step.value} is not allowed in state '{self.state.value}'")
         self.state = TRANSITIONS[self.state, step]
--- a/ladderhub/signalling/table.py
+++ b/ladderhub/signalling/table.py
@@ -1,4 +1,4 @@
-"""Message types, causes and parameter codes, each once, and what a message is in either encoding."""
+"""Message types, causes and parameter codes, and the message that both encodings share."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 from ladderhub.errors.base import PROTOCOL, LadderhubError
 
-MAX_MESSAGE_BYTES = 16 * 1024  # bytes of one message, in either encoding
-ID_DIGITS = 16
+MAX_MESSAGE_BYTES = 16 * 1024  # in either encoding
+ID_DIGITS = 16  # hex digits of a task id
 
 
 class SignalError(LadderhubError):
-    """What was read is not the protocol.  Where it could be told whose it was, `id` names the task."""
+    """A violation of the protocol.  `id` is the id of the task concerned, or empty if it is unknown."""
 
     status, code = 1, PROTOCOL
     remedy = "look at the program at the other end, named in the log line: its messages are not the protocol"
@@ -23,7 +23,7 @@
 
 
 class Kind(IntEnum):
-    """Message types; the number is the binary type, the name in lower case the JSON type."""
+    """Message types: the number is the type in the binary encoding, the lower-case name that in JSON."""
 
     SETUP = 1
     PROGRESS = 6
@@ -37,18 +37,18 @@
 
 
 class Cause(IntEnum):
-    """Why a release is sent.  The numbers are those of Q.850, which the protocol borrows."""
+    """Why a release is sent.  The numbers are taken from ITU-T Q.850."""
 
-    NORMAL = 16  # a set-up is given up; after the answer: the task has come to its end
-    CANCELLED = 31  # after the answer: moved, or ended by its owner
-    NO_ROOM = 34  # full: it never ran
-    BROKEN = 41  # before the answer: broke on its way; after it: the task was cut
+    NORMAL = 16  # before the answer: the set-up is withdrawn; after it: the task has ended
+    CANCELLED = 31  # after the answer: the task was moved, or ended by its owner
+    NO_ROOM = 34  # refused for lack of resources: the task never ran
+    BROKEN = 41  # before the answer: the set-up was lost in transit; after it: the task was cut off
     BUSY = 42  # refused
     ERROR = 47
-    MISSING = 96  # something that a set-up must have is not there
-    INVALID = 100  # something in it makes no sense
-    MOOT = 102  # it never left
-    PROTOCOL = 111  # not as the protocol goes
+    MISSING = 96  # a mandatory part of the set-up is missing
+    INVALID = 100  # a part of the set-up has an invalid value
+    MOOT = 102  # the set-up was never sent
+    PROTOCOL = 111  # protocol violation
 
 
 class Code(IntEnum):
@@ -63,18 +63,19 @@
     DESCRIPTION = 195
 
 
-TEST_ASKED, TEST_FAILED, TEST_PASSED = 0, 0, 1  # the causes of a test and of its answers
+TEST_ASKED, TEST_FAILED, TEST_PASSED = 0, 0, 1  # the cause of a ping and those of its possible answers
 _HEX = frozenset("0123456789abcdef")
 
 
 def is_id(text: str) -> bool:
-    """Whether this names a task: 16 hex digits, in lower case, so that both encodings give back the same."""
+    """Whether the text is a task id: 16 hex digits, lower-case so that both encodings give the same text."""
     return len(text) == ID_DIGITS and _HEX.issuperset(text)
 
 
 @dataclass(slots=True)
 class Message:
-    """One message.  `fields` are a JSON message's fields, `values` a binary one's further parameters."""
+    """One message.  `fields` holds the fields of a JSON message, `values` the parameters of a binary message
+    other than cause and description, by code."""
 
     kind: Kind
     id: str
