--- a/ladderhub/loop/__init__.py
+++ b/ladderhub/loop/__init__.py
@@ -1,7 +1,8 @@
-"""The one event loop: sockets, timers, signals and child processes on `selectors`, with an injected clock.
+"""The event loop: sockets, timers, signals and child processes on `selectors`, with an injected clock.
 
-Imports nothing else of ladderhub: it knows neither protocols nor decisions.  No threads, no `asyncio`.  The
-small HTTP stands in `loop.http` and is imported from there, since it needs a library that not all doors have.
+It imports nothing else of ladderhub and knows neither protocols nor decisions.  It uses neither threads nor
+`asyncio`.  The HTTP server is imported from `loop.http`, since it needs a library that not every installation
+has.
 """
 
 from ladderhub.loop.clock import Clock, ManualClock, SteadyClock
--- a/ladderhub/loop/accept_queue.py
+++ b/ladderhub/loop/accept_queue.py
@@ -1,4 +1,4 @@
-"""For how long callers may have waited in a listener's accept queue, which is first in, first out."""
+"""Estimates for how long connections have waited in a listener's accept queue, which is a FIFO."""
 
 from __future__ import annotations
 
@@ -6,47 +6,50 @@
 import struct
 from collections import deque
 
-# Of the kernel's `struct tcp_info`: the state is its first byte; of a listening socket `tcpi_unacked`, the
-# fifth of the 32-bit numbers behind the first eight bytes, counts the callers that wait.
+# Layout of the kernel's `struct tcp_info`: the first byte is the state.  For a listening socket,
+# `tcpi_unacked`, the fifth 32-bit number after the first eight bytes, is the length of the accept queue.
 TCP_LISTEN = 10
 _STATE = struct.Struct("B")
-_WAITING = struct.Struct("=I")
-_WAITING_AT = 8 + 4 * 4
-_INFO_SIZE = _WAITING_AT + _WAITING.size
+_PENDING = struct.Struct("=I")
+_PENDING_OFFSET = 8 + 4 * 4
+_INFO_SIZE = _PENDING_OFFSET + _PENDING.size
 
 
-def waiting_callers(listener: socket.socket) -> int | None:
-    """How many callers wait to be accepted; None where the system does not tell."""
+def count_pending_connections(listener: socket.socket) -> int | None:
+    """Number of connections waiting to be accepted; None if the system does not report it."""
     try:
         info = listener.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _INFO_SIZE)
     except OSError:
         return None
     if len(info) < _INFO_SIZE or _STATE.unpack_from(info)[0] != TCP_LISTEN:
         return None
-    waiting: int = _WAITING.unpack_from(info, _WAITING_AT)[0]
-    return waiting
+    pending: int = _PENDING.unpack_from(info, _PENDING_OFFSET)[0]
+    return pending
 
 
 class AcceptQueue:
-    """Reckons with callers in the order of their arrival.  Times are the loop's, in nanoseconds."""
+    """Bounds the waiting time of each accepted connection, from observations of the queue's length.
+
+    Times are those of the loop, in nanoseconds."""
 
     def __init__(self, opened_ns: int, capacity: int) -> None:
-        """`capacity`: no more callers than these wait at once."""
+        """`capacity`: the maximum length of the queue."""
         self._capacity = capacity
         self._accepted = 0
-        self._since_ns = opened_ns
-        self._looks: deque[tuple[int, int]] = deque()  # callers come by then, and when that was, oldest first
+        self._earliest_arrival_ns = opened_ns
+        # Total number of connections that had arrived by a time, and that time; oldest first.
+        self._observations: deque[tuple[int, int]] = deque()
 
-    def looked(self, now_ns: int, waiting: int | None) -> None:
-        """So many callers wait now; None where nobody knows."""
-        come = self._accepted + (self._capacity if waiting is None else waiting)
-        while self._looks and self._looks[-1][0] >= come:
-            self._looks.pop()
-        self._looks.append((come, now_ns))
+    def observe(self, now_ns: int, pending: int | None) -> None:
+        """Record the number of pending connections; None if it is unknown."""
+        arrived = self._accepted + (self._capacity if pending is None else pending)
+        while self._observations and self._observations[-1][0] >= arrived:
+            self._observations.pop()
+        self._observations.append((arrived, now_ns))
 
     def accept(self) -> int:
-        """The next caller is accepted: since when it may have waited."""
+        """Record the accept of the next connection; return the earliest time at which it can have arrived."""
         self._accepted += 1
-        while self._looks and self._looks[0][0] < self._accepted:
-            self._since_ns = self._looks.popleft()[1]
-        return self._since_ns
+        while self._observations and self._observations[0][0] < self._accepted:
+            self._earliest_arrival_ns = self._observations.popleft()[1]
+        return self._earliest_arrival_ns
--- a/ladderhub/loop/clock.py
+++ b/ladderhub/loop/clock.py
@@ -1,4 +1,4 @@
-"""Clocks.  Times are whole nanoseconds since the Unix epoch, and never go back within one process."""
+"""Clocks.  Times are integer nanoseconds since the Unix epoch and never decrease within one process."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 
 class Clock(Protocol):
-    """Gives the present moment in nanoseconds; later calls never give less."""
+    """Returns the current time in nanoseconds; later calls never return less."""
 
     def now_ns(self) -> int: ...
 
 
 class SteadyClock:
-    """The wall clock as it stood when made, carried on by the monotonic clock.
+    """Starts at the wall clock's time and advances with the monotonic clock.
 
-    Schedulers compare the start times of nodes with each other, so the zero point must be shared; the wall
-    clock being set must not move a deadline, so the progress is monotonic."""
+    Schedulers compare the start times of nodes with each other, so they need a common epoch.  After that
+    the monotonic clock counts, so that setting the wall clock does not move deadlines."""
 
     def __init__(self) -> None:
         self._offset = time.time_ns() - time.monotonic_ns()
@@ -26,7 +26,7 @@
 
 
 class ManualClock:
-    """A clock that tests step by hand."""
+    """A clock that tests advance explicitly."""
 
     def __init__(self, start_ns: int = 0) -> None:
         self.value_ns = start_ns
@@ -36,5 +36,5 @@
 
     def advance(self, span_ns: int) -> None:
         if span_ns < 0:
-            raise ValueError("advance: a clock never goes back")
+            raise ValueError("advance: the span must not be negative")
         self.value_ns += span_ns
--- a/ladderhub/loop/datagram.py
+++ b/ladderhub/loop/datagram.py
@@ -1,4 +1,4 @@
-"""Datagrams over UDP: sent without waiting, read a bounded number each round.  What can't be sent is lost."""
+"""UDP datagrams: sent without blocking and received in bounded batches.  What can't be sent is dropped."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 from ladderhub.loop.core import READ, Loop
 from ladderhub.loop.stream import Address
 
-READ_BYTES = 2048  # more than any datagram of ours: a longer one shows as too long
-READ_MOST = 64  # datagrams each round, so that a flood leaves others their turn
-BUFFER = 1 << 20  # what may wait in the kernel while a process stands still
+MAX_DATAGRAM_BYTES = 2048  # more than any valid datagram, so that a longer one is recognised as too long
+MAX_DATAGRAMS_PER_ROUND = 64  # so that a flood does not delay other descriptors
+RECEIVE_BUFFER_BYTES = 1 << 20  # in the kernel, for datagrams that arrive while the process is paused
 
 
 class Datagrams:
-    """One socket; `receive` is called with each datagram and the address that it came from."""
+    """A UDP socket; `receive` is called with each datagram and its source address."""
 
     def __init__(self, loop: Loop, address: Address, receive: Callable[[bytes, Address], object]) -> None:
-        """OSError where the address can't be had."""
+        """OSError if the address can't be bound."""
         self.loop, self._receive = loop, receive
-        self.unsent = 0  # datagrams that the system did not take
+        self.unsent = 0  # datagrams that the kernel did not accept
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
-            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER)
+            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
             self.sock.bind(address)
         except OSError:
             self.sock.close()
@@ -34,16 +34,18 @@
     def send(self, data: bytes, address: Address) -> None:
         try:
             self.sock.sendto(data, address)
-        except OSError:  # a full buffer, no route, a refusal told late: for its user all the same as lost
+        except (
+            OSError
+        ):  # full buffer, no route, or the ICMP error of an earlier datagram: the datagram is lost
             self.unsent += 1
 
     def _ready(self, _: int) -> None:
-        for _each in range(READ_MOST):
+        for _each in range(MAX_DATAGRAMS_PER_ROUND):
             try:
-                data, source = self.sock.recvfrom(READ_BYTES)
+                data, source = self.sock.recvfrom(MAX_DATAGRAM_BYTES)
             except BlockingIOError:
                 return
-            except OSError:  # an earlier datagram was refused: nothing to read
+            except OSError:  # the ICMP error of an earlier datagram; nothing was read
                 continue
             try:
                 self._receive(data, source)
--- a/ladderhub/loop/http.py
+++ b/ladderhub/loop/http.py
@@ -1,4 +1,4 @@
-"""The small HTTP that runs beside the main protocol: `GET` of a few pages, parsed by `httptools`."""
+"""A minimal HTTP server for `GET` of a few pages, beside the main protocol.  `httptools` parses requests."""
 
 from __future__ import annotations
 
@@ -11,13 +11,20 @@
 from ladderhub.loop.listener import Listener
 from ladderhub.loop.stream import Address, Stream
 
-HEAD_MOST = 16 * 1024
+MAX_REQUEST_BYTES = 16 * 1024
 Page = Callable[[], tuple[int, str, bytes]]
-_WORDS = {200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 503: "Unavailable"}
+_REASON_PHRASES = {
+    200: "OK",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    503: "Unavailable",
+}
 
 
 class HttpServer:
-    """Serves `pages` (path to a call that gives status, content type and body), one request a connection."""
+    """Serves one request per connection.  `pages`: by path, a function that returns status, content type and
+    body."""
 
     def __init__(self, loop: Loop, address: Address, pages: dict[str, Page]) -> None:
         self._loop, self._pages = loop, pages
@@ -46,25 +53,25 @@
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._answer(stream, 400, "text/plain", b"not HTTP\n")
+            self._respond(stream, 400, "text/plain", b"not HTTP\n")
             return
         if self._done:
             path = self._url.split(b"?")[0].decode("latin-1")
             page = self._pages.get(path)
             if self._parser.get_method() != b"GET":
-                self._answer(stream, 405, "text/plain", b"GET only\n")
+                self._respond(stream, 405, "text/plain", b"GET only\n")
             elif page is None:
-                self._answer(stream, 404, "text/plain", b"no such page\n")
+                self._respond(stream, 404, "text/plain", b"no such page\n")
             else:
-                self._answer(stream, *page())
-        elif self._size > HEAD_MOST:
-            self._answer(stream, 400, "text/plain", b"too long\n")
+                self._respond(stream, *page())
+        elif self._size > MAX_REQUEST_BYTES:
+            self._respond(stream, 400, "text/plain", b"too long\n")
 
     def on_closed(self, stream: Stream, fault: BaseException | None) -> None:
         return
 
-    def _answer(self, stream: Stream, status: int, kind: str, body: bytes) -> None:
-        head = f"HTTP/1.1 {status} {_WORDS[status]}\r\nContent-Type: {kind}\r\n"
+    def _respond(self, stream: Stream, status: int, content_type: str, body: bytes) -> None:
+        head = f"HTTP/1.1 {status} {_REASON_PHRASES[status]}\r\nContent-Type: {content_type}\r\n"
         head += f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n"
         stream.write(head.encode() + body)
         stream.close()
--- a/ladderhub/loop/listener.py
+++ b/ladderhub/loop/listener.py
@@ -1,23 +1,24 @@
-"""Listeners over TCP, which accept a bounded number of callers each round."""
+"""TCP listeners, which accept a bounded number of connections per round of the loop."""
 
 from __future__ import annotations
 
 import socket
 from collections.abc import Callable
 
-from ladderhub.loop.accept_queue import AcceptQueue, waiting_callers
+from ladderhub.loop.accept_queue import AcceptQueue, count_pending_connections
 from ladderhub.loop.core import READ, Loop
 from ladderhub.loop.stream import Address
 
-MAX_ACCEPTS_PER_ROUND = 64  # callers each round, or as many as come within
-ACCEPT_NS = 10_000_000
-BACKLOG = 1024  # callers that may wait to be accepted
-CAPACITY = BACKLOG + 1  # as Linux counts it
-ACCEPT_REST_NS = 100_000_000
+MAX_ACCEPTS_PER_ROUND = 64
+ACCEPT_BUDGET_NS = 10_000_000  # per round
+BACKLOG = 1024  # connections that may wait to be accepted
+CAPACITY = BACKLOG + 1  # Linux admits one more than the backlog
+ACCEPT_RETRY_NS = 100_000_000  # pause after a failed accept
 
 
 class Listener:
-    """Accepts connections, a bounded number each round.  Out of descriptors it rests instead of spinning."""
+    """Accepts connections, a bounded number per round.  When it is out of descriptors it pauses instead of
+    busy-waiting."""
 
     def __init__(self, loop: Loop, address: Address, accept: Callable[[socket.socket], object]) -> None:
         self.loop, self._accept = loop, accept
@@ -31,10 +32,10 @@
             raise
         self.sock.setblocking(False)
         self.address: Address = self.sock.getsockname()
-        self.waited_since_ns = self._left_ns = loop.now_ns()
+        self.waited_since_ns = self._last_accept_end_ns = loop.now_ns()
         self._longest_wait_ns = 0
-        self._more_in_round = 0  # of the loop: the last one that left callers to the next
-        self._queue = AcceptQueue(self._left_ns, CAPACITY)
+        self._postponed_in_round = 0  # the last round of the loop that left connections to the next one
+        self._queue = AcceptQueue(self._last_accept_end_ns, CAPACITY)
         self._open()
 
     def _open(self) -> None:
@@ -45,10 +46,10 @@
         self._accept_some()
 
     def _accept_some(self) -> bool:
-        """Accept a round of callers; whether there may be more."""
+        """Accept a batch of connections; return whether there may be more."""
         more = True
-        self._look_at_queue()
-        until_ns = self.loop.now_ns() + ACCEPT_NS
+        self._observe_queue()
+        until_ns = self.loop.now_ns() + ACCEPT_BUDGET_NS
         for _ in range(MAX_ACCEPTS_PER_ROUND):
             now = self.loop.now_ns()
             if now >= until_ns:
@@ -56,36 +57,36 @@
             more = self._accept_one(now)
             if not more:
                 break
-        self._left_ns = self.loop.now_ns()
-        self._more_in_round = self.loop.rounds if more else 0
+        self._last_accept_end_ns = self.loop.now_ns()
+        self._postponed_in_round = self.loop.rounds if more else 0
         return more
 
     def unaccepted_ns(self) -> int:
-        """For how long callers whom this round leaves to the next may have waited; 0 where there are none."""
-        more = self._more_in_round == self.loop.rounds
+        """Longest time for which the connections that this round leaves to the next may have waited, or 0."""
+        more = self._postponed_in_round == self.loop.rounds
         return self.loop.now_ns() - self.waited_since_ns if more else 0
 
-    def _look_at_queue(self) -> None:
-        unseen_ns = self.loop.earliest_arrival_ns(self.sock.fileno())
-        if unseen_ns > self._left_ns:  # the loop has looked since, and nobody waited
-            self._queue.looked(unseen_ns, 0)
+    def _observe_queue(self) -> None:
+        arrival_ns = self.loop.earliest_arrival_ns(self.sock.fileno())
+        if arrival_ns > self._last_accept_end_ns:  # the loop has polled since then, and the queue was empty
+            self._queue.observe(arrival_ns, 0)
         now = self.loop.now_ns()
-        self._queue.looked(now, waiting_callers(self.sock))
+        self._queue.observe(now, count_pending_connections(self.sock))
 
     def _accept_one(self, now: int) -> bool:
-        """Accept the next caller; whether there may be more."""
+        """Accept the next connection; return whether there may be more."""
         try:
             sock, _address = self.sock.accept()
         except ConnectionAbortedError:
             self._queue.accept()
             return True
         except BlockingIOError:
-            self._queue.looked(now, 0)
+            self._queue.observe(now, 0)
             return False
         except OSError as fault:
             self.loop.trouble("accept", fault)
             self.loop.watch(self.sock.fileno(), 0, self._ready)
-            self.loop.call_later(ACCEPT_REST_NS, self._open)
+            self.loop.call_later(ACCEPT_RETRY_NS, self._open)
             return False
         self.waited_since_ns = self._queue.accept()
         self._longest_wait_ns = max(self._longest_wait_ns, now - self.waited_since_ns)
@@ -97,12 +98,12 @@
         return True
 
     def take_longest_wait_ns(self) -> int:
-        """The longest that a caller may have waited to be accepted since the last call, in nanoseconds."""
+        """Return and reset the longest time for which a connection may have waited to be accepted."""
         longest_ns, self._longest_wait_ns = self._longest_wait_ns, 0
         return longest_ns
 
     def accept_waiting(self) -> None:
-        """Accept all that connected so far: closing over them would reset what they have sent."""
+        """Accept all pending connections.  Closing the listener would reset them and lose what they sent."""
         for _ in range(BACKLOG):
             if self.sock.fileno() < 0 or not self._accept_some():
                 return
--- a/ladderhub/loop/stream.py
+++ b/ladderhub/loop/stream.py
@@ -1,4 +1,4 @@
-"""Byte streams over TCP with bounded buffers, and connects with a time-out."""
+"""TCP byte streams with bounded buffers, and connection attempts with a time-out."""
 
 from __future__ import annotations
 
@@ -10,17 +10,19 @@
 from ladderhub.loop.core import READ, WRITE, Loop, Timer
 
 MAX_READ_BYTES = 256 * 1024
-WRITE_HIGH = 256 * 1024  # above this the reader of requests is paused: back-pressure
-MAX_UNSENT_BYTES = 16 * 1024 * 1024  # above this the peer does not read: the connection is given up
-REST_MOST = 16 * 1024 * 1024  # of a broken connection: beyond what any kernel holds unread
-REST_LEAST = 64 * 1024  # what each try to read it counts for, so that the tries end
-# What a call on a good socket may fail with for a moment, as the kernel is busy or short of memory.
+WRITE_HIGH_WATER_BYTES = 256 * 1024  # above this reading is paused (back-pressure)
+MAX_UNSENT_BYTES = 16 * 1024 * 1024  # above this the peer is considered not to read, and the connection fails
+# Limit for reading the remaining data of a failed connection: more than any kernel buffers.  Each attempt
+# counts as the minimum at least, so that the attempts end.
+MAX_REMAINING_BYTES = 16 * 1024 * 1024
+MIN_REMAINING_READ_BYTES = 64 * 1024
+# Errors of a healthy socket while the kernel is busy or short of memory; the call is tried again later.
 TRANSIENT_ERRNOS = frozenset({errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR, errno.ENOBUFS, errno.ENOMEM})
 Address = tuple[str, int]
 
 
 def parse_address(text: str) -> Address:
-    """HOST:PORT; ValueError where it is none."""
+    """Parse HOST:PORT; ValueError if the text is invalid."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or int(port) > 65535:
         raise ValueError(f"found {text!r}; HOST:PORT is meant, as 127.0.0.1:15001")
@@ -28,7 +30,7 @@
 
 
 class Handler(Protocol):
-    """What a connection tells its user."""
+    """Receives the events of a connection."""
 
     def on_data(self, stream: Stream, data: bytes) -> None: ...
 
@@ -36,7 +38,7 @@
 
 
 class _NoSocket:
-    """Stands where a socket could not be made."""
+    """Placeholder for a socket that could not be created."""
 
     def fileno(self) -> int:
         return -1
@@ -46,7 +48,7 @@
 
 
 class Stream:
-    """One connection.  `write` never blocks; the handler hears `on_closed` exactly once."""
+    """One connection.  `write` never blocks; the handler's `on_closed` is called exactly once."""
 
     def __init__(
         self,
@@ -57,14 +59,14 @@
         max_read_bytes: int = MAX_READ_BYTES,
         first: bool = False,
     ) -> None:
-        """`max_read_bytes`: bytes taken at a time, so that one busy peer leaves the others their turn.
-        `first`: read before others."""
+        """`max_read_bytes`: bytes read at a time, so that one busy peer does not delay the others.  `first`:
+        read before other connections."""
         self.loop, self.sock, self.handler, self._max_read_bytes = loop, sock, handler, max_read_bytes
         self._first = first
         self.connected = not connecting
         self.closed = False
         self.on_connected: Callable[[Stream], None] | None = None
-        self.on_drained: Callable[[], None] | None = None  # called each time all that was written has left
+        self.on_drained: Callable[[], None] | None = None  # called whenever the write buffer has become empty
         self._out: list[bytes] = []
         self._out_size = 0
         self._paused = self._closing = self._finishing = self._failing = False
@@ -83,7 +85,7 @@
             return "?"
 
     def fileno(self) -> int:
-        """Its descriptor; -1 once it is closed."""
+        """Its descriptor; -1 after it was closed."""
         return self.sock.fileno()
 
     def _socket(self) -> socket.socket:
@@ -91,11 +93,11 @@
             raise OSError("no socket")
         return self.sock
 
-    # --- what the user does -----------------------------------------------------------------------------
+    # --- for the user -----------------------------------------------------------------------------------
 
     def write(self, data: bytes) -> None:
-        """Queue bytes; they leave as the peer takes them.  A peer that takes nothing is cut off in the
-        end."""
+        """Queue bytes, which are sent as fast as the peer reads them.  If too many are queued the connection
+        fails."""
         if self.closed or self._closing or self._finishing or self._failing or not data:
             return
         if not self._out and self.connected:
@@ -116,20 +118,20 @@
         self._watch()
 
     def can_send(self) -> bool:
-        """Whether what is written now can still reach the peer, as far as is known."""
+        """Whether data that is written now can still reach the peer, as far as is known."""
         ending = self.closed or self._closing or self._finishing or self._failing
         return self.connected and not ending
 
     def has_unread(self) -> bool:
-        """Whether bytes of the peer wait here that no callback has been given yet."""
+        """Whether received bytes are pending that the handler has not got yet."""
         return bool(self._peek())
 
     def is_at_eof(self) -> bool:
-        """Whether the peer has closed or reset, and nothing that it said before is left to read."""
+        """Whether the peer has closed or reset the connection and all it sent before has been read."""
         return self._peek() == b""
 
     def _peek(self) -> bytes | None:
-        """The next byte that waits; None where there is none yet, and nothing where none will come."""
+        """The next received byte; None if there is none yet, empty if there will be none."""
         if self.closed:
             return b""
         try:
@@ -137,17 +139,17 @@
         except OSError as fault:
             return None if fault.errno in TRANSIENT_ERRNOS else b""
 
-    def read_now(self, most: int) -> None:
-        """Hand over what has come, up to about so many bytes, without waiting for the loop's turn and also
-        while reading is paused; the end of the peer too, where that comes next."""
-        while most > 0 and self.connected and not self.closed and not self._closing:
-            taken = self._read()
-            if not taken:
+    def read_now(self, max_bytes: int) -> None:
+        """Pass received data, up to about `max_bytes`, to the handler at once, even while reading is paused;
+        also the peer's close, if that comes next."""
+        while max_bytes > 0 and self.connected and not self.closed and not self._closing:
+            received = self._read()
+            if not received:
                 return
-            most -= taken
+            max_bytes -= received
 
     def has_unsent(self) -> bool:
-        """Whether bytes wait for the peer to take them."""
+        """Whether written bytes have not been sent yet."""
         return bool(self._out)
 
     def pause(self, paused: bool) -> None:
@@ -157,10 +159,10 @@
             self._watch()
 
     def is_backed_up(self) -> bool:
-        return self._out_size > WRITE_HIGH
+        return self._out_size > WRITE_HIGH_WATER_BYTES
 
     def close(self) -> None:
-        """Close once all that was written has left."""
+        """Close after all written data has been sent."""
         self._closing = True
         if not self._out:
             self.abort(None)
@@ -168,7 +170,7 @@
             self._watch()
 
     def finish(self) -> None:
-        """Send nothing more once all that was written has left, and go on reading until the peer closes."""
+        """Shut down writing after all written data has been sent; reading goes on until the peer closes."""
         self._finishing = True
         if not self._out and self.connected and not self.closed:
             try:
@@ -177,30 +179,30 @@
                 self.fail(fault)
 
     def fail(self, fault: BaseException | None) -> None:
-        """Send nothing more and drop what was not sent, hand over all that has come so far, then close.
+        """Discard unsent data, pass all data received so far to the handler, then close.
 
-        Danger: a peer may send its last words and reset.  Whoever closes as a write fails drops them unread,
-        though the kernel still has them.  The handler is not called from here."""
+        A peer may send its last messages and then reset the connection.  Closing as soon as a write fails
+        would lose them, though the kernel still has them.  The handler is not called from here."""
         if self.closed or self._failing:
             return
         self._failing, self._fault = True, fault
         self._out.clear()
         self._out_size = 0
         self._watch()
-        self.loop.call_soon(self._read_rest, REST_MOST)
+        self.loop.call_soon(self._read_remaining, MAX_REMAINING_BYTES)
 
-    def _read_rest(self, most: int) -> None:
-        """A portion each round, so that nobody else waits for long."""
+    def _read_remaining(self, max_bytes: int) -> None:
+        """Read one portion per round, so that other connections are not delayed."""
         if self.closed:
             return
-        if self._closing or most <= 0 or self._exhausted():
+        if self._closing or max_bytes <= 0 or self._is_exhausted():
             self.abort(self._fault)
             return
-        taken = self._read()
-        self.loop.call_soon(self._read_rest, most - max(taken, REST_LEAST))
+        received = self._read()
+        self.loop.call_soon(self._read_remaining, max_bytes - max(received, MIN_REMAINING_READ_BYTES))
 
-    def _exhausted(self) -> bool:
-        """Whether nothing that has come is left to read."""
+    def _is_exhausted(self) -> bool:
+        """Whether no received data is left to read."""
         try:
             return not self._socket().recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -209,7 +211,7 @@
             return fault.errno not in TRANSIENT_ERRNOS
 
     def abort(self, fault: BaseException | None = None) -> None:
-        """Close now; what was not sent, and what was not read, is dropped."""
+        """Close now and discard unsent and unread data."""
         if self.closed:
             return
         self.closed = True
@@ -221,7 +223,7 @@
         self._out_size = 0
         self.handler.on_closed(self, self._fault or fault)
 
-    # --- what the loop does -----------------------------------------------------------------------------
+    # --- called by the loop -----------------------------------------------------------------------------
 
     def _watch(self) -> None:
         if self.closed:
@@ -246,14 +248,14 @@
                 return
             self.fail(fault)
             return
-        except Exception as fault:  # the fault of one connection's handler ends that connection alone
+        except Exception as fault:  # an error in a handler ends only its own connection
             self.loop.trouble("connection", fault)
             self.abort(fault)
         if events & READ and not self.closed and not self._failing:
             self._read()
 
     def _read(self) -> int:
-        """Hand over what has come, a portion at most; how many bytes that were."""
+        """Pass at most one portion of received data to the handler; return its size."""
         try:
             data = self._socket().recv(self._max_read_bytes)
             if data:
@@ -264,7 +266,7 @@
         except OSError as fault:
             if fault.errno not in TRANSIENT_ERRNOS:
                 self.abort(fault)
-        except Exception as fault:  # the fault of one connection's handler ends that connection alone
+        except Exception as fault:  # an error in a handler ends only its own connection
             self.loop.trouble("connection", fault)
             self.abort(fault)
         return 0
@@ -286,14 +288,13 @@
         if not self._out and self.on_drained is not None:
             self.on_drained()
 
-    def _not_up(self) -> None:
-        """The time to come up is over."""
+    def _on_connect_timeout(self) -> None:
         if not self.connected and not self._failing:
             self.abort(TimeoutError("connect"))
 
     def _finish_connect(self) -> None:
         code = self._socket().getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-        if code:  # it is told once, and final whatever it is
+        if code:  # reading the error clears it, and every error is final here
             self.fail(OSError(code, errno.errorcode.get(code, "connect")))
             return
         self.connected = True
@@ -316,8 +317,7 @@
     on_connected: Callable[[Stream], None] | None = None,
     first: bool = False,
 ) -> Stream:
-    """Begin a connection; what goes wrong, a time-out included, comes later as `on_closed`, never from
-    here."""
+    """Start a connection.  Errors, also a time-out, are reported later through `on_closed`, never raised."""
     return connect_as(Stream, loop, address, handler, timeout_ns, on_connected, first)
 
 
@@ -330,9 +330,9 @@
     on_connected: Callable[[Stream], None] | None = None,
     first: bool = False,
 ) -> AnyStream:
-    """Begin a connection on a stream that `make` gives, with the arguments of `Stream`."""
-    # Danger: out of descriptors, or an address that is none.  An exception here would leave whoever asked
-    # without the end that it counts on, so that too comes as `on_closed`.
+    """As `connect`, on a stream made by `make`, which is called with the arguments of `Stream`."""
+    # Without a free descriptor, or with an invalid address, this fails at once.  The caller relies on
+    # `on_closed`, so such an error is reported there too and not raised.
     sock: socket.socket | _NoSocket = _NoSocket()
     code = 0
     try:
@@ -349,5 +349,7 @@
     stream.on_connected = on_connected
     if code not in (0, errno.EINPROGRESS):
         loop.call_soon(stream.abort, OSError(code, "connect"))
-    stream._timer = loop.call_later(timeout_ns, loop.call_when_read, sock.fileno(), stream._not_up)
+    stream._timer = loop.call_later(
+        timeout_ns, loop.call_when_read, sock.fileno(), stream._on_connect_timeout
+    )
     return stream
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -1,4 +1,4 @@
-"""The event loop with a stepped clock, and over loopback sockets where it must be sockets."""
+"""The event loop with a manual clock, and with loopback sockets where real sockets are needed."""
 
 from __future__ import annotations
 
@@ -19,27 +19,27 @@
 S = 1_000_000_000
 
 
-def turns(loop: Loop, count: int = 40) -> None:
+def run_rounds(loop: Loop, count: int = 40) -> None:
     for _ in range(count):
         loop.run_once(2_000_000)
 
 
 class Sink:
     def __init__(self, fails: bool = False) -> None:
-        self.got = bytearray()
+        self.received = bytearray()
         self.closed: list[BaseException | None] = []
         self.fails = fails
 
     def on_data(self, stream: Stream, data: bytes) -> None:
         if self.fails:
             raise RuntimeError("handler")
-        self.got += data
+        self.received += data
 
     def on_closed(self, stream: Stream, fault: BaseException | None) -> None:
         self.closed.append(fault)
 
 
-def test_timers_fire_in_order_by_the_clock_and_revoked_ones_do_not() -> None:
+def test_timers_fire_in_order_by_the_clock_and_cancelled_ones_do_not() -> None:
     clock = ManualClock()
     loop = Loop(clock)
     fired: list[int] = []
@@ -52,14 +52,14 @@
     assert fired == [1, 3] and loop.pending_timers() == 1
 
 
-def test_a_hundred_thousand_revoked_timers_leave_nothing() -> None:
+def test_a_hundred_thousand_cancelled_timers_leave_nothing() -> None:
     loop = Loop(ManualClock())
     for timer in [loop.call_at(at, print) for at in range(1, 100_001)]:
         timer.cancel()
     assert loop.pending_timers() == 0 and len(loop._timers) < 5000
 
 
-def test_a_handler_that_throws_closes_its_own_connection_alone() -> None:
+def test_a_handler_that_raises_closes_only_its_own_connection() -> None:
     troubles: list[BaseException] = []
     loop = Loop(trouble=lambda where, fault: troubles.append(fault))
     sinks = [Sink(fails=True), Sink()]
@@ -68,19 +68,19 @@
         loop, ("127.0.0.1", 0), lambda s: streams.append(Stream(loop, s, sinks[len(streams)]))
     )
     first = socket.create_connection(listener.address)
-    turns(loop, 3)
+    run_rounds(loop, 3)
     second = socket.create_connection(listener.address)
-    turns(loop, 3)
+    run_rounds(loop, 3)
     first.sendall(b"x")
     second.sendall(b"y")
-    turns(loop)
-    assert len(troubles) == 1 and streams[0].closed and not streams[1].closed and sinks[1].got == b"y"
+    run_rounds(loop)
+    assert len(troubles) == 1 and streams[0].closed and not streams[1].closed and sinks[1].received == b"y"
     for each in (first, second):
         each.close()
     listener.close()
 
 
-def test_a_peer_that_does_not_read_holds_up_nobody_and_is_given_up() -> None:
+def test_a_peer_that_does_not_read_delays_no_other_and_its_connection_fails() -> None:
     loop = Loop()
     sinks = [Sink(), Sink()]
     streams: list[Stream] = []
@@ -88,13 +88,13 @@
         loop, ("127.0.0.1", 0), lambda s: streams.append(Stream(loop, s, sinks[len(streams)]))
     )
     slow, good = socket.create_connection(listener.address), None
-    turns(loop, 3)
+    run_rounds(loop, 3)
     good = socket.create_connection(listener.address)
-    turns(loop, 3)
+    run_rounds(loop, 3)
     for _ in range(MAX_UNSENT_BYTES // (1 << 20) + 8):
         streams[0].write(b"x" * (1 << 20))
     streams[1].write(b"quick")
-    turns(loop, 5)
+    run_rounds(loop, 5)
     good.settimeout(5)
     assert good.recv(100) == b"quick"
     assert streams[0].closed and isinstance(sinks[0].closed[0], BufferError)
@@ -103,17 +103,17 @@
     listener.close()
 
 
-def test_a_connect_to_nobody_and_one_without_an_answer_end() -> None:
+def test_a_refused_connect_is_reported_as_closed() -> None:
     loop = Loop()
-    with socket.socket() as held:
-        held.bind(("127.0.0.1", 0))  # bound and not listening: refused
+    with socket.socket() as unused:
+        unused.bind(("127.0.0.1", 0))  # bound but not listening: the connect is refused
         sink = Sink()
-        connect(loop, held.getsockname(), sink, S)
-        turns(loop)
+        connect(loop, unused.getsockname(), sink, S)
+        run_rounds(loop)
     assert isinstance(sink.closed[0], OSError)
 
 
-def test_signals_and_children_come_between_callbacks() -> None:
+def test_signals_and_child_exits_are_handled_between_callbacks() -> None:
     loop = Loop()
     seen: list[object] = []
     old = signal.getsignal(signal.SIGUSR1)
@@ -129,9 +129,9 @@
     signal.signal(signal.SIGUSR1, old)
 
 
-def test_a_flood_holds_up_neither_timers_nor_what_comes_first_and_all_have_their_turn() -> None:
-    # Guards against rounds as long as there are descriptors ready, while deadlines pass and the journal lies
-    # unread.  Handling takes 4 ms here, by the clock of the test.
+def test_a_flood_delays_neither_timers_nor_priority_descriptors_and_all_are_handled() -> None:
+    # Guards against rounds that last as long as descriptors are ready, while deadlines pass and the journal
+    # is not read.  Handling a descriptor takes 4 ms on the clock of the test.
     clock = ManualClock()
     loop = Loop(clock)
     pairs = [socket.socketpair() for _ in range(20)]
@@ -158,15 +158,15 @@
     loop.close()
 
 
-def test_what_is_read_in_a_long_backlog_counts_from_when_it_became_ready() -> None:
-    # Guards against a message that is charged the whole time since the backlog began.
+def test_data_read_in_a_long_backlog_counts_from_when_it_became_ready() -> None:
+    # Guards against counting for a message the whole time since the backlog began.
     clock = ManualClock()
     loop = Loop(clock)
     pairs = [socket.socketpair() for _ in range(3)]
     since: list[int] = []
 
     def burn(_: int) -> None:
-        clock.advance(S // 50)  # longer than a round may take: the others are left to the next one
+        clock.advance(S // 50)  # longer than a round may last: the other descriptors are left to the next one
 
     def late(fd: int) -> None:
         since.append(loop.earliest_arrival_ns(fd))
@@ -176,11 +176,11 @@
         loop.watch(end.fileno(), READ, burn)
     for writer, _ in pairs[:2]:
         writer.send(b"flood")
-    turns(loop, 20)
+    run_rounds(loop, 20)
     late_fd, written_ns = pairs[2][1].fileno(), clock.now_ns()
     loop.watch(late_fd, READ, lambda _: late(late_fd))
     pairs[2][0].send(b"late")
-    turns(loop, 20)
+    run_rounds(loop, 20)
     assert len(since) == 1 and written_ns - S // 10 <= since[0] <= clock.now_ns()
     loop.close()
     for pair in pairs:
@@ -188,61 +188,61 @@
             each.close()
 
 
-class StoppedSelector(selectors.DefaultSelector):
-    """The process stands still within one look, which begins with nothing ready."""
+class PausedSelector(selectors.DefaultSelector):
+    """Simulates a process that is paused during one poll, which starts with nothing ready."""
 
-    def __init__(self, clock: ManualClock, span_ns: int, stopped: Callable[[], object]) -> None:
+    def __init__(self, clock: ManualClock, span_ns: int, on_pause: Callable[[], object]) -> None:
         super().__init__()
-        self.clock, self.span_ns, self.stopped = clock, span_ns, stopped
+        self.clock, self.span_ns, self.on_pause = clock, span_ns, on_pause
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         if self.span_ns:
-            self.stopped()
+            self.on_pause()
             self.clock.advance(self.span_ns)
             self.span_ns = 0
-            return self.found()
+            return self.check_after_pause()
         return super().select(timeout)
 
-    def found(self) -> list[tuple[selectors.SelectorKey, int]]:
+    def check_after_pause(self) -> list[tuple[selectors.SelectorKey, int]]:
         return super().select(0)
 
 
-class InterruptedSelector(StoppedSelector):
-    """As the wait is over by then, it ends without a look."""
+class InterruptedSelector(PausedSelector):
+    """Its time-out has passed after the pause, so the poll ends without a last check."""
 
-    def found(self) -> list[tuple[selectors.SelectorKey, int]]:
+    def check_after_pause(self) -> list[tuple[selectors.SelectorKey, int]]:
         return []
 
 
-@pytest.mark.parametrize("selector", [StoppedSelector, InterruptedSelector])
+@pytest.mark.parametrize("selector", [PausedSelector, InterruptedSelector])
 @pytest.mark.parametrize("wait_ns", [0, S // 100, S // 10])
-def test_what_came_while_the_process_stood_still_counts_from_the_end_of_its_wait(
-    selector: type[StoppedSelector], wait_ns: int
+def test_data_that_came_while_the_process_was_paused_counts_from_the_end_of_its_wait(
+    selector: type[PausedSelector], wait_ns: int
 ) -> None:
-    # Guards against requests that are not charged for a pause within the loop's wait.
+    # Guards against not counting a pause of the process during the poll as waiting time of a request.
     clock = ManualClock()
     loop = Loop(clock)
     writer, reader = socket.socketpair()
-    begun_ns = clock.now_ns()
+    began_ns = clock.now_ns()
     loop._selector.close()
     loop._selector = selector(clock, S, lambda: writer.send(b"waits"))
     since: list[int] = []
     loop.watch(reader.fileno(), READ, lambda _: since.append(loop.earliest_arrival_ns(reader.fileno())))
     for _ in range(2):
         loop.run_once(wait_ns)
-    assert since and begun_ns <= since[0] <= begun_ns + wait_ns
+    assert since and began_ns <= since[0] <= began_ns + wait_ns
     loop.close()
     writer.close()
     reader.close()
 
 
-def test_what_came_in_a_long_round_counts_from_its_begin_though_the_next_look_takes_long() -> None:
-    # Guards against a look that waited for a processor, taken for one that waited for bytes.
+def test_data_that_came_in_a_long_round_counts_from_its_begin_even_if_the_next_poll_takes_long() -> None:
+    # Guards against mistaking a poll that waited for a processor for one that waited for data.
     clock = ManualClock()
     loop = Loop(clock)
     writer, reader = socket.socketpair()
     loop._selector.close()
-    loop._selector = selector = StoppedSelector(clock, 0, lambda: None)
+    loop._selector = selector = PausedSelector(clock, 0, lambda: None)
     since: list[int] = []
     loop.watch(reader.fileno(), READ, lambda _: since.append(loop.earliest_arrival_ns(reader.fileno())))
 
@@ -252,17 +252,17 @@
         selector.span_ns = S // 1000
 
     loop.call_later(0, long_round)
-    begun_ns = clock.now_ns()
+    began_ns = clock.now_ns()
     for _ in range(2):
         loop.run_once(S // 10)
-    assert since == [begun_ns]
+    assert since == [began_ns]
     loop.close()
     writer.close()
     reader.close()
 
 
 class ShortOfMemory(socket.socket):
-    """A socket whose next calls fail as Linux documents for a kernel that is short of memory."""
+    """A socket whose next calls fail with the errors that Linux documents for a kernel short of memory."""
 
     fault = errno.ENOBUFS
     failures = 0
@@ -282,8 +282,8 @@
 
 
 @pytest.mark.parametrize("fault", [errno.ENOBUFS, errno.ENOMEM, errno.EINTR, errno.EAGAIN])
-def test_a_kernel_short_of_memory_for_a_moment_ends_no_connection(fault: int) -> None:
-    # Guards against requests lost with their connection, which nothing ails.
+def test_a_kernel_temporarily_short_of_memory_ends_no_connection(fault: int) -> None:
+    # Guards against closing a healthy connection, and losing its requests, after a transient error.
     loop = Loop()
     with socket.create_server(("127.0.0.1", 0)) as server:
         here = socket.create_connection(server.getsockname())
@@ -294,20 +294,20 @@
     stream = Stream(loop, flaky, sink)
     flaky.failures = 3
     stream.write(b"one")
-    turns(loop, 10)
+    run_rounds(loop, 10)
     assert there.recv(10) == b"one"
     flaky.failures = 3
     there.send(b"two")
     assert not stream.is_at_eof()
-    turns(loop, 10)
-    assert bytes(sink.got) == b"two" and not sink.closed
+    run_rounds(loop, 10)
+    assert bytes(sink.received) == b"two" and not sink.closed
     stream.abort()
     there.close()
     loop.close()
 
 
-def test_callers_who_come_in_a_crowd_hold_up_nobody_for_longer_than_a_round() -> None:
-    # Guards against a round that takes as long as it takes to accept all who wait.
+def test_many_connections_at_once_delay_others_by_no_more_than_a_round() -> None:
+    # Guards against a round that lasts until all waiting connections are accepted.
     clock = ManualClock()
     loop = Loop(clock)
     accepted: list[socket.socket] = []
@@ -320,10 +320,10 @@
     callers = [socket.create_connection(listener.address) for _ in range(30)]
     loop.run_once(2_000_000)
     assert 0 < len(accepted) <= 2
-    turns(loop)
+    run_rounds(loop)
     assert len(accepted) == 30
     more = [socket.create_connection(listener.address) for _ in range(30)]
-    listener.accept_waiting()  # as it closes it takes all that came, however long that is
+    listener.accept_waiting()  # before it closes, a listener accepts all that wait, however long that takes
     assert len(accepted) == 60
     listener.close()
     loop.close()
--- a/tests/test_signalling.py
+++ b/tests/test_signalling.py
@@ -43,7 +43,7 @@
 
 
 def read(reader: BinaryReader | LineReader, parts: list[bytes]) -> tuple[list[object], bool, int]:
-    """Feed the parts; return the messages, whether an error ended the reading, and the largest buffer size."""
+    """Feed the parts: the messages, whether an error ended the reading, and the largest buffer size."""
     found: list[object] = []
     max_pending = 0
     for part in parts:
--- a/tests/test_stream_reset.py
+++ b/tests/test_stream_reset.py
@@ -1,4 +1,4 @@
-"""A peer sends, then resets its connection: what it sent is handed over, whatever notices the reset first."""
+"""A peer sends data, then resets the connection: the handler gets the data, whichever call sees the reset."""
 
 from __future__ import annotations
 
@@ -17,29 +17,29 @@
 from ladderhub.loop.stream import MAX_READ_BYTES, connect
 
 S = 1_000_000_000
-LINGER_RESET = struct.pack("ii", 1, 0)
-LAST_WORDS = b"x" * 100
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)
+LAST_DATA = b"x" * 100
 
 
 @dataclass
 class Sink:
-    """A handler that keeps what it is told, in order."""
+    """A handler that records its events in order."""
 
-    got: bytearray = field(default_factory=bytearray)
+    received: bytearray = field(default_factory=bytearray)
     closed: list[BaseException | None] = field(default_factory=list)
 
     def on_data(self, stream: Stream, data: bytes) -> None:
         assert not self.closed
-        self.got += data
+        self.received += data
 
     def on_closed(self, stream: Stream, fault: BaseException | None) -> None:
         self.closed.append(fault)
 
 
-def reset(sock: socket.socket, last_words: bytes) -> None:
-    """Send, and close so that the other end gets a reset instead of an orderly end."""
-    sock.sendall(last_words)
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
+def reset(sock: socket.socket, last_data: bytes) -> None:
+    """Send data, and close so that the peer gets a reset instead of an orderly end."""
+    sock.sendall(last_data)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
     sock.close()
 
 
@@ -57,21 +57,21 @@
             here = socket.create_connection(server.getsockname())
             self.peer, _ = server.accept()
         self.stream = Stream(self.loop, here, self.sink)
-        self.turns(2)
+        self.run_rounds(2)
 
-    def turns(self, count: int) -> None:
+    def run_rounds(self, count: int) -> None:
         for _ in range(count):
             self.loop.run_once(2_000_000)
 
-    def reset_then(self, call: Callable[[], object], last_words: bytes = LAST_WORDS) -> None:
-        """The peer resets after the round's poll, and something else is done in the same round."""
+    def reset_then(self, call: Callable[[], object], last_data: bytes = LAST_DATA) -> None:
+        """Reset by the peer after the round's poll, then `call` in the same round."""
 
-        def both() -> None:
-            reset(self.peer, last_words)
+        def reset_and_call() -> None:
+            reset(self.peer, last_data)
             call()
 
-        self.loop.call_later(0, both)
-        self.turns(20)
+        self.loop.call_later(0, reset_and_call)
+        self.run_rounds(20)
 
     def close(self) -> None:
         self.stream.abort()
@@ -86,53 +86,55 @@
     made.close()
 
 
-def test_a_failed_write_loses_nothing_that_came_before_the_reset(connection: Connection) -> None:
-    # Guards against ends of tasks dropped unread with their connection.
+def test_a_failed_write_loses_no_data_received_before_the_reset(connection: Connection) -> None:
+    # Guards against dropping the unread ends of tasks with their connection.
     connection.reset_then(lambda: connection.stream.write(b"test"))
-    assert bytes(connection.sink.got) == LAST_WORDS and len(connection.sink.closed) == 1
+    assert bytes(connection.sink.received) == LAST_DATA and len(connection.sink.closed) == 1
 
 
-def test_a_failed_finish_loses_nothing_that_came_before_the_reset(connection: Connection) -> None:
-    # Guards against ends dropped unread on a connection that is let go.
+def test_a_failed_finish_loses_no_data_received_before_the_reset(connection: Connection) -> None:
+    # Guards against dropping the unread ends of tasks on a connection that is being closed.
     connection.reset_then(connection.stream.finish)
-    assert bytes(connection.sink.got) == LAST_WORDS and len(connection.sink.closed) == 1
+    assert bytes(connection.sink.received) == LAST_DATA and len(connection.sink.closed) == 1
 
 
-def test_a_failed_flush_loses_nothing_that_came_before_the_reset(connection: Connection) -> None:
-    # Guards against ends dropped unread on a connection whose machine took nothing for a while.
+def test_a_failed_flush_loses_no_data_received_before_the_reset(connection: Connection) -> None:
+    # Guards against dropping the unread ends of tasks on a connection whose machine has not read for a while.
     while not connection.stream.has_unsent():
         connection.stream.write(b"y" * 100_000)
-    reset(connection.peer, LAST_WORDS)
-    connection.turns(20)
-    assert bytes(connection.sink.got) == LAST_WORDS and len(connection.sink.closed) == 1
+    reset(connection.peer, LAST_DATA)
+    connection.run_rounds(20)
+    assert bytes(connection.sink.received) == LAST_DATA and len(connection.sink.closed) == 1
 
 
-def test_more_than_one_portion_is_handed_over_in_order_after_a_failed_write(connection: Connection) -> None:
+def test_more_than_one_portion_is_delivered_in_order_after_a_failed_write(connection: Connection) -> None:
     # Guards against reading only once before the close.
-    words = bytes(at % 251 for at in range(MAX_READ_BYTES + 100_000))
+    data = bytes(at % 251 for at in range(MAX_READ_BYTES + 100_000))
     sender = connection.peer
-    sender.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4 * len(words))
-    connection.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4 * len(words))  # type: ignore[union-attr]
-    connection.reset_then(lambda: connection.stream.write(b"test"), words)
-    assert bytes(connection.sink.got) == words and len(connection.sink.closed) == 1
+    sender.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4 * len(data))
+    connection.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4 * len(data))  # type: ignore[union-attr]
+    connection.reset_then(lambda: connection.stream.write(b"test"), data)
+    assert bytes(connection.sink.received) == data and len(connection.sink.closed) == 1
 
 
-def test_nothing_is_written_and_the_end_told_once_after_a_failed_write(connection: Connection) -> None:
-    # Guards against a second end, or a handler that writes as it hears of the last words.
+def test_after_a_failed_write_nothing_is_written_and_the_close_is_reported_once(
+    connection: Connection,
+) -> None:
+    # Guards against a second close event, and against a handler that writes when it gets the last data.
     connection.reset_then(lambda: write_thrice(connection.stream))
     assert len(connection.sink.closed) == 1 and connection.stream.closed
     assert isinstance(connection.sink.closed[0], OSError)
 
 
-def test_a_paused_reader_gets_what_came_before_the_reset_too(connection: Connection) -> None:
-    # Guards against a connection in back-pressure that is closed over what it brought.
+def test_a_paused_stream_also_delivers_data_received_before_the_reset(connection: Connection) -> None:
+    # Guards against dropping received data when a connection under back-pressure is closed.
     connection.stream.pause(True)
     connection.reset_then(lambda: connection.stream.write(b"test"))
-    assert bytes(connection.sink.got) == LAST_WORDS and len(connection.sink.closed) == 1
+    assert bytes(connection.sink.received) == LAST_DATA and len(connection.sink.closed) == 1
 
 
 class ShortOfMemory(socket.socket):
-    """A socket whose reads fail for a moment with ENOMEM, as its kernel has no memory to spare."""
+    """A socket whose next reads fail with ENOMEM, as if the kernel were short of memory."""
 
     failures = 0
 
@@ -144,7 +146,7 @@
 
 
 @pytest.mark.parametrize("failures", [1, 2, 5])
-def test_a_kernel_short_of_memory_for_a_moment_loses_nothing_of_a_broken_connection(
+def test_a_kernel_temporarily_short_of_memory_loses_no_data_of_a_failed_connection(
     connection: Connection, failures: int
 ) -> None:
     sock = connection.stream.sock
@@ -157,41 +159,41 @@
         connection.stream.write(b"test")
 
     connection.reset_then(write)
-    assert bytes(connection.sink.got) == LAST_WORDS and len(connection.sink.closed) == 1
+    assert bytes(connection.sink.received) == LAST_DATA and len(connection.sink.closed) == 1
 
 
-def test_a_peer_that_resets_as_the_connection_comes_up_is_heard() -> None:
-    # Guards against ends lost that a machine tells on accepting, before it resets.
+def test_data_of_a_peer_that_resets_while_the_connection_is_established_is_delivered() -> None:
+    # Guards against losing ends of tasks that a machine sends when it accepts, before it resets.
     loop, sink = Loop(), Sink()
-    listener = Listener(loop, ("127.0.0.1", 0), lambda sock: reset(sock, LAST_WORDS))
+    listener = Listener(loop, ("127.0.0.1", 0), lambda sock: reset(sock, LAST_DATA))
     connecting = connect(loop, listener.address, sink, S)
     listener._accept_some()
     for _ in range(20):
         loop.run_once(2_000_000)
-    assert bytes(sink.got) == LAST_WORDS and len(sink.closed) == 1
+    assert bytes(sink.received) == LAST_DATA and len(sink.closed) == 1
     assert connecting.closed
     listener.close()
     loop.close()
 
 
-def test_a_peer_that_resets_in_a_round_longer_than_a_dial_may_take_is_heard() -> None:
-    # Guards against last words dropped as the time to come up is judged between the reset and their reading.
+def test_data_of_a_peer_that_resets_in_a_round_longer_than_the_connect_time_out_is_delivered() -> None:
+    # Guards against dropping data because the connect time-out is checked between the reset and the read.
     clock = ManualClock()
     loop, sink = Loop(clock), Sink()
-    listener = Listener(loop, ("127.0.0.1", 0), lambda sock: reset(sock, LAST_WORDS))
+    listener = Listener(loop, ("127.0.0.1", 0), lambda sock: reset(sock, LAST_DATA))
     near, far = socket.socketpair()
 
-    def dial_and_stand_still(_: int) -> None:
+    def connect_and_pause(_: int) -> None:
         loop.watch(near.fileno(), 0, print)
         connect(loop, listener.address, sink, S)
         listener._accept_some()
         clock.advance(2 * S)
 
-    loop.watch(near.fileno(), READ, dial_and_stand_still)
+    loop.watch(near.fileno(), READ, connect_and_pause)
     far.send(b"now")
     for _ in range(20):
         loop.run_once(2_000_000)
-    assert bytes(sink.got) == LAST_WORDS and len(sink.closed) == 1
+    assert bytes(sink.received) == LAST_DATA and len(sink.closed) == 1
     listener.close()
     loop.close()
     near.close()
