--- a/ladderhub/cli/common.py
+++ b/ladderhub/cli/common.py
@@ -1,4 +1,4 @@
-"""What the groups share: the log, the loop, settings, addresses, and how a command ends on an error."""
+"""Code shared by the command groups: log, loop, settings, addresses, and the exit on an error."""
 
 from __future__ import annotations
 
@@ -18,40 +18,42 @@
 _LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
 
 
-def _encode(row: object, **_: object) -> bytes:
+def _encode_row(row: object, **_: object) -> bytes:
     return msgspec.json.encode(row, enc_hook=repr)
 
 
-def set_up_log(form: str, level: str, processor: ProcessorTime | None = None) -> Any:
-    """Structured lines on standard error, as JSON or for people; with `processor` their time is accounted."""
-    last: Any = structlog.dev.ConsoleRenderer()
-    factory: Any = structlog.PrintLoggerFactory(sys.stderr)
-    if form == "json":
-        # Bytes straight from the encoder: at hundreds of jobs a second log lines are a cost that shows.
-        last = structlog.processors.JSONRenderer(serializer=_encode)
-        factory = structlog.BytesLoggerFactory(sys.stderr.buffer)
+def set_up_log(log_format: str, level: str, processor: ProcessorTime | None = None) -> Any:
+    """Sets up structured logging to standard error, as JSON or in a form for reading.
+
+    With `processor`, the processor time of log lines is counted."""
+    renderer: Any = structlog.dev.ConsoleRenderer()
+    logger_factory: Any = structlog.PrintLoggerFactory(sys.stderr)
+    if log_format == "json":
+        # Writes the encoder's bytes directly, since logging cost is noticeable at hundreds of jobs a second.
+        renderer = structlog.processors.JSONRenderer(serializer=_encode_row)
+        logger_factory = structlog.BytesLoggerFactory(sys.stderr.buffer)
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
             structlog.processors.format_exc_info,
-            last,
+            renderer,
         ],
-        wrapper_class=_logger_class(level, processor),
-        logger_factory=factory,
+        wrapper_class=_make_logger_class(level, processor),
+        logger_factory=logger_factory,
         cache_logger_on_first_use=True,
     )
     return structlog.get_logger()
 
 
-def _logger_class(level: str, processor: ProcessorTime | None) -> Any:
-    plain: Any = structlog.make_filtering_bound_logger(_LEVELS[level])
+def _make_logger_class(level: str, processor: ProcessorTime | None) -> Any:
+    base_class: Any = structlog.make_filtering_bound_logger(_LEVELS[level])
     if processor is None:
-        return plain
+        return base_class
     run = processor.run
 
-    class AccountedLogger(plain):  # type: ignore[misc]
-        """Lines that the level lets through are made and written on the account of the log."""
+    class AccountedLogger(base_class):  # type: ignore[misc]
+        """Counts the processor time of lines at or above the level as that of logging."""
 
         def _proxy_to_logger(self, name: str, event: str | None = None, /, *args: Any, **row: Any) -> Any:
             proxy = super()._proxy_to_logger
@@ -61,17 +63,18 @@
 
 
 def make_loop(log: Any) -> Loop:
+    """Returns a loop that logs the errors of its callbacks."""
     return Loop(trouble=lambda where, fault: log.error("trouble", where=where, exc_info=fault))
 
 
 def fail(fault: LadderhubError, name: str = "ladderhub") -> NoReturn:
-    """One message with what can be done about it, and the exit status of the error's type."""
+    """Prints the error with its remedy and exits with the status of its type."""
     click.echo(f"{name}: {fault} ({fault.remedy})", err=True)
     sys.exit(fault.status)
 
 
 def load_settings(file: Path) -> Any:
-    """The checked settings in a file; ends the command with one message where they can't be used."""
+    """Loads and checks a settings file; invalid settings end the command with one message."""
     from ladderhub.server.settings import load
 
     try:
@@ -80,8 +83,8 @@
         fail(fault)
 
 
-def address_option(context: click.Context, option: click.Parameter, text: str) -> tuple[str, int]:
-    """Reads an option that is HOST:PORT."""
+def parse_address_option(context: click.Context, option: click.Parameter, text: str) -> tuple[str, int]:
+    """Parses an option of the form HOST:PORT."""
     from ladderhub.server.settings import SettingsError, parse_setting_address
 
     try:
--- a/ladderhub/cli/daemons.py
+++ b/ladderhub/cli/daemons.py
@@ -1,4 +1,4 @@
-"""What runs until it is told to end: scheduler, node, directory, demo; and the check of a settings file."""
+"""Commands for long-running processes (scheduler, node, directory, demo) and the check of a settings file."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import click
 import msgspec
 
-from ladderhub.cli.common import address_option, fail, load_settings, make_loop, set_up_log
+from ladderhub.cli.common import parse_address_option, fail, load_settings, make_loop, set_up_log
 from ladderhub.errors import LadderhubError
 
 
@@ -25,7 +25,7 @@
 @click.command()
 @click.argument("file", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 def serve(file: Path) -> None:
-    """Run one scheduler daemon with the settings in FILE.  SIGTERM settles what was taken, then ends it."""
+    """Run one scheduler daemon with the settings in FILE.  On SIGTERM it settles its open jobs, then ends."""
     from ladderhub.loop.http import HttpDoor, Page
     from ladderhub.server.daemon import Daemon
     from ladderhub.usage.accounted import AccountedLoop
@@ -35,18 +35,18 @@
     processor = ProcessorTime()
     log = set_up_log(settings.file.log.format, settings.file.log.level, processor)
     loop = AccountedLoop(processor)
-    # The loop keeps signals until it runs, by when there is a daemon.
+    # The loop delivers signals only once it runs; `daemon` is set by then.
     loop.on_signal(signal.SIGTERM, lambda: daemon.shut_down())
     loop.on_signal(signal.SIGINT, lambda: daemon.shut_down())
     try:
         daemon = Daemon(loop, settings, log)
-        count = daemon.metrics
+        metrics = daemon.metrics
 
-        def trouble(where: str, fault: BaseException) -> None:
-            count.troubles += 1
+        def log_trouble(where: str, fault: BaseException) -> None:
+            metrics.troubles += 1
             log.error("trouble", where=where, exc_info=fault)
 
-        loop.trouble = trouble
+        loop.trouble = log_trouble
         daemon.start()
         if settings.http is not None:
             pages: dict[str, Page] = {
@@ -60,8 +60,8 @@
     except (OSError, ValueError) as fault:
         click.echo(f"ladderhub: {file}: cannot start: {fault}", err=True)
         sys.exit(1)
-    # What was loaded until now stays for good: the collector need not look at it again, and what a burst of
-    # jobs leaves behind is looked through seldom, since one look through all of it holds everybody up.
+    # Objects created until now live as long as the process, so the garbage collector can skip them.  What a
+    # burst of jobs leaves is collected seldom, because a full collection blocks the whole loop.
     gc.collect()
     gc.freeze()
     gc.set_threshold(20_000, 20, 50)
@@ -71,17 +71,17 @@
 
 
 @click.command("platform")
-def on_platform() -> None:
-    """Run one scheduler on the users' platform, as PROXY_CONFIG, PROXY_LISTEN and PROXY_NAME tell it."""
-    from ladderhub.platform.service import main as run
+def run_on_platform() -> None:
+    """Run one scheduler on the users' platform, configured by PROXY_CONFIG, PROXY_LISTEN and PROXY_NAME."""
+    from ladderhub.platform.service import main as run_scheduler
 
-    run()
+    run_scheduler()
 
 
 @click.command()
 @click.option("--name", required=True, help="The node's name, unique in the fleet.")
-@click.option("--listen", default="127.0.0.1:0", callback=address_option, show_default=True)
-@click.option("--directory", required=True, callback=address_option, help="HOST:PORT of the directory.")
+@click.option("--listen", default="127.0.0.1:0", callback=parse_address_option, show_default=True)
+@click.option("--directory", required=True, callback=parse_address_option, help="HOST:PORT of the directory.")
 @click.option("--kind", required=True, help="Its kind, as the settings of the schedulers name it.")
 @click.option("--cores", required=True, type=click.FloatRange(min=0, min_open=True))
 @click.option("--memory", required=True, help="As 64gb.")
@@ -107,13 +107,13 @@
     log = set_up_log("json", "info")
     loop = make_loop(log)
     spool.mkdir(parents=True, exist_ok=True)
-    work: Runner = (
+    work_runner: Runner = (
         EmulatedRunner(loop, EmulatedSettings(), seed) if runner == "emulated" else RealRunner(loop, spool)
     )
     try:
         settings = NodeSettings(cores, parse_size(memory, "memory") / GIB, kind, admit_cores, admit_memory)
         agent = Agent(
-            loop, name, settings, work, address=listen, directory=directory, rack=rack, zone=zone,
+            loop, name, settings, work_runner, address=listen, directory=directory, rack=rack, zone=zone,
             answers=answers,
             seed=seed,
         )  # fmt: skip
@@ -121,12 +121,12 @@
         click.echo(f"ladderhub: cannot start: {fault}", err=True)
         sys.exit(1)
 
-    def end() -> None:
+    def stop() -> None:
         agent.stop_all_jobs()
         loop.call_later(3_000_000_000, loop.stop)
 
-    loop.on_signal(signal.SIGTERM, end)
-    loop.on_signal(signal.SIGINT, end)
+    loop.on_signal(signal.SIGTERM, stop)
+    loop.on_signal(signal.SIGINT, stop)
     log.info("ready", node=name, address=agent.advertise)
     loop.run()
     loop.ignore_signals()
@@ -134,7 +134,7 @@
 
 
 @click.command()
-@click.option("--listen", default="127.0.0.1:15009", callback=address_option, show_default=True)
+@click.option("--listen", default="127.0.0.1:15009", callback=parse_address_option, show_default=True)
 @click.option("--delay", default=1.0, show_default=True, help="Seconds by which schedulers are told late.")
 @click.option(
     "--settle",
@@ -146,7 +146,7 @@
     "--stats", type=click.Path(dir_okay=False, path_type=Path), help="Written at SIGUSR1 and the end."
 )
 def directory(listen: tuple[str, int], delay: float, settle: float, stats: Path | None) -> None:
-    """Run the directory that tells schedulers of nodes."""
+    """Run the directory, which announces nodes to schedulers."""
     from ladderhub.directory.service import Directory
 
     log = set_up_log("json", "info")
@@ -159,26 +159,26 @@
     loop.on_signal(signal.SIGTERM, loop.stop)
     loop.on_signal(signal.SIGINT, loop.stop)
     if stats is not None:
-        loop.on_signal(signal.SIGUSR1, lambda: _write_whole(stats, msgspec.json.encode(service.stats())))
+        loop.on_signal(signal.SIGUSR1, lambda: _write_atomically(stats, msgspec.json.encode(service.stats())))
     log.info("ready", address="{}:{}".format(*service.address))
     loop.run()
     loop.ignore_signals()
     if stats is not None:
-        _write_whole(stats, msgspec.json.encode(service.stats()))
+        _write_atomically(stats, msgspec.json.encode(service.stats()))
 
 
-def _write_whole(path: Path, data: bytes) -> None:
-    """Write a file so that whoever finds it finds all of it."""
-    fresh = path.with_name(path.name + ".new")
-    fresh.write_bytes(data)
-    fresh.replace(path)
+def _write_atomically(path: Path, data: bytes) -> None:
+    """Writes a file by a rename, so that readers never see it incomplete."""
+    new_file = path.with_name(path.name + ".new")
+    new_file.write_bytes(data)
+    new_file.replace(path)
 
 
 @click.command()
 @click.option("--keep", is_flag=True, help="Stay up, with the real runner, for commands from another shell.")
 @click.option("--schedulers", default=2, show_default=True, type=click.IntRange(1, 9))
 def demo(keep: bool, schedulers: int) -> None:
-    """Start schedulers, a directory and eight nodes, submit job scripts and show what becomes of them."""
+    """Start schedulers, a directory and eight nodes, submit job scripts and show their results."""
     from ladderhub.lab.demo import run_demo
 
     sys.exit(run_demo(keep, schedulers))
--- a/ladderhub/cli/lab.py
+++ b/ladderhub/cli/lab.py
@@ -1,4 +1,4 @@
-"""`ladderhub lab`: scripted days, recordings, load."""
+"""`ladderhub lab`: test runs with scripted faults, checks of recordings, load measurements."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 @click.group()
 def lab() -> None:
-    """The laboratory: scripted days, recordings, load."""
+    """Run the laboratory: scripted fault days, recordings, load."""
 
 
-def _run_day(name: str, seed: int, folder: Path | None) -> None:
+def _run_scenario(name: str, seed: int, folder: Path | None) -> None:
     from ladderhub.lab.day import Day, scenario
 
     try:
@@ -45,8 +45,8 @@
 @_SEED
 @_FOLDER
 def bad_day(seed: int, folder: Path | None) -> None:
-    """Run the bad day and judge the five rules from the recorded bytes."""
-    _run_day("bad-day", seed, folder)
+    """Run the scenario bad-day and check the five rules on the recorded bytes."""
+    _run_scenario("bad-day", seed, folder)
 
 
 @lab.command()
@@ -54,8 +54,8 @@
 @_SEED
 @_FOLDER
 def replay(kind: str, seed: int, folder: Path | None) -> None:
-    """Run one KIND of trouble through real schedulers and judge the rules."""
-    _run_day(kind, seed, folder)
+    """Run the scenario KIND on real schedulers and check the rules on the recorded bytes."""
+    _run_scenario(kind, seed, folder)
 
 
 @lab.command()
@@ -79,8 +79,10 @@
     loss: float,
     seed: int,
 ) -> None:
-    """Play the pure modules of many schedulers in simulated time, with loss, pauses and crashes: `views`, or
-    `revisions` of the configuration at a rate, and ten changes within the last second."""
+    """Simulate the pure modules of many schedulers, with loss, pauses and crashes, in simulated time.
+
+    `views` runs membership.  `revisions` changes the configuration at a rate, and ten times within the last
+    second."""
     from ladderhub.lab.emulator.membership import Verdict, hour
     from ladderhub.lab.emulator.revision_judge import RevisionVerdict
     from ladderhub.lab.emulator.revisions import changes
@@ -110,27 +112,27 @@
 @click.option("--random", "schedules", default=10_000, show_default=True, help="Random schedules after it.")
 @_SEED
 def check(what: str, depth: int, faults: int, states: int, schedules: int, seed: int) -> None:
-    """Run the decisions on leases under every schedule of few faults, or those on ballots under every order
-    of messages within bounds; then under many random schedules."""
-    broken = False
-    for name, found in _searches(what, depth, faults, states, schedules, seed):
-        for line in found.lines():
+    """Check the lease decisions under every schedule of few faults, or the ballot decisions under every order
+    of messages within bounds; then check them under many random schedules."""
+    any_broken = False
+    for name, result in _run_searches(what, depth, faults, states, schedules, seed):
+        for line in result.lines():
             click.echo(f"{name}: {line}")
-        broken = broken or bool(found.broken)
-    click.echo("judged bad" if broken else "judged good")
-    sys.exit(1 if broken else 0)
+        any_broken = any_broken or bool(result.broken)
+    click.echo("judged bad" if any_broken else "judged good")
+    sys.exit(1 if any_broken else 0)
 
 
-class _Found(Protocol):
+class _SearchResult(Protocol):
     broken: str
 
     def lines(self) -> Iterator[str]: ...
 
 
-def _searches(
+def _run_searches(
     what: str, depth: int, faults: int, states: int, schedules: int, seed: int
-) -> Iterator[tuple[str, _Found]]:
-    """Each is run when it is asked for."""
+) -> Iterator[tuple[str, _SearchResult]]:
+    """Yields the name and result of each search; a search runs when its result is requested."""
     if what == "seats":
         from ladderhub.lab.checker import leases
 
@@ -138,12 +140,12 @@
         yield "random", leases.at_random(schedules, seed)
         return
     from ladderhub.lab.checker import ballots
-    from ladderhub.lab.checker import schedules as whole
+    from ladderhub.lab.checker import schedules as whole_schedulers
 
     for bounds in ballots.searches(states):
         yield f"exhaustive, {bounds}", ballots.exhaustive(bounds)
     yield "random ballots", ballots.at_random(schedules, seed)
-    yield "random, whole schedulers", whole.at_random(schedules // 50, seed)
+    yield "random, whole schedulers", whole_schedulers.at_random(schedules // 50, seed)
 
 
 @lab.command()
@@ -153,8 +155,8 @@
 @_SEED
 @_FOLDER
 def mesh(name: str, schedulers: int, hollow: int, seed: int, folder: Path | None) -> None:
-    """Play fault days on real schedulers with a faulty network between them.  Their views are judged, and on
-    the days `changes` and `few-changes` the revisions of the configuration."""
+    """Run fault days on real schedulers with a faulty network between them and check their views; on the days
+    `changes` and `few-changes`, check the revisions of the configuration."""
     import tempfile
 
     from ladderhub.lab.mesh.change_days import CHANGE_DAYS, draw_changes
@@ -171,23 +173,23 @@
             days = [draw(each, schedulers, seed) for each in (DAYS if name == "all" else [name])]
     except ValueError as fault:
         raise click.UsageError(str(fault)) from None
-    bad = []
+    failed_days = []
     for day in (each for each in days if each.real):
         with tempfile.TemporaryDirectory() as scratch:
-            place = (folder / day.name) if folder is not None else Path(scratch)
-            place.mkdir(parents=True, exist_ok=True)
+            run_folder = (folder / day.name) if folder is not None else Path(scratch)
+            run_folder.mkdir(parents=True, exist_ok=True)
             verdict: Verdict | RevisionVerdict = (
-                run_changes(day, place, schedulers, seed, hollow=hollow)
+                run_changes(day, run_folder, schedulers, seed, hollow=hollow)
                 if name in CHANGE_DAYS
-                else run_day(day, place, schedulers, seed)
+                else run_day(day, run_folder, schedulers, seed)
             )
         click.echo(f"{day.name}: {day.about}; {schedulers} schedulers, seed {seed}")
         for line in verdict.lines():
             click.echo(f"  {line}")
         if not verdict.good():
-            bad.append(day.name)
-    click.echo(f"judged bad: {', '.join(bad)}" if bad else "all days judged good")
-    sys.exit(1 if bad else 0)
+            failed_days.append(day.name)
+    click.echo(f"judged bad: {', '.join(failed_days)}" if failed_days else "all days judged good")
+    sys.exit(1 if failed_days else 0)
 
 
 @lab.command()
@@ -196,31 +198,33 @@
 @click.option("--seconds", default=20.0, show_default=True)
 @click.option("--jobs", default=10_000, show_default=True, help="Held jobs for memory and qstat; 0 for none.")
 def load(nodes: int, rate: float, seconds: float, jobs: int) -> None:
-    """Measure one daemon: rate, delay it adds, memory a job, qstat, qsub's own start."""
+    """Measure one daemon: job rate, added delay, memory for each job, qstat, and the start time of qsub."""
     from ladderhub.lab.load import Bench, start_ratio, weigh
 
     bench = Bench(nodes)
     try:
-        got = bench.load(rate, seconds)
+        stats = bench.load(rate, seconds)
     finally:
         bench.close()
     click.echo(f"{os.cpu_count()} cores here; {nodes} emulated nodes, {rate:g} jobs/s for {seconds:g} s")
-    click.echo(f"submitted {got.submitted}: {got.placed} placed, {got.refused} refused, {got.failed} failed")
-    click.echo(f"daemon used {got.cores:.2f} of one core")
+    click.echo(
+        f"submitted {stats.submitted}: {stats.placed} placed, {stats.refused} refused, {stats.failed} failed"
+    )
+    click.echo(f"daemon used {stats.cores:.2f} of one core")
     for name, values in (
-        ("submit to acknowledged", got.commit_ms), ("submit to offer at the node", got.added_ms),
-        ("submit to running", got.start_ms),
+        ("submit to acknowledged", stats.commit_ms), ("submit to offer at the node", stats.added_ms),
+        ("submit to running", stats.start_ms),
     ):  # fmt: skip
         click.echo(f"{name:<28} ms at p50/p99/p99.9: {' / '.join(map(str, values))}")
-    own, bare = start_ratio()
+    qsub, bare = start_ratio()
     click.echo(
-        f"qsub starts in {own / bare:.2f} times a bare interpreter ({own * 1000:.0f}, {bare * 1000:.0f} ms)"
+        f"qsub starts in {qsub / bare:.2f} times a bare interpreter ({qsub * 1000:.0f}, {bare * 1000:.0f} ms)"
     )
     if jobs:
-        weight = weigh(jobs)
-        click.echo(f"{weight.jobs} held jobs: {weight.bytes_a_job} bytes each")
-        click.echo(f"qstat {weight.qstat_s:.2f} s, qstat -f {weight.qstat_full_s:.2f} s")
-        click.echo(f"a small request waits at most {weight.held_up_ms:.0f} ms while all jobs are asked for")
+        memory = weigh(jobs)
+        click.echo(f"{memory.jobs} held jobs: {memory.bytes_a_job} bytes each")
+        click.echo(f"qstat {memory.qstat_s:.2f} s, qstat -f {memory.qstat_full_s:.2f} s")
+        click.echo(f"a small request waits at most {memory.held_up_ms:.0f} ms while all jobs are asked for")
 
 
 @lab.command()
@@ -229,15 +233,15 @@
 @_SEED
 @_FOLDER
 def updates(copies: int, calm: bool, seed: int, folder: Path | None) -> None:
-    """Update three services at once on real sockets, with faults; judge limits from the recorded bytes."""
+    """Update three services at once on real sockets, with faults; check limits on the recorded bytes."""
     from ladderhub.lab.updates import run_updates
 
-    got = run_updates(copies, seed, not calm, click.echo, folder)
-    for line in [*got.limits.lines(), *got.rules.lines()]:
+    result = run_updates(copies, seed, not calm, click.echo, folder)
+    for line in [*result.limits.lines(), *result.rules.lines()]:
         click.echo(line)
-    click.echo(f"{got.seconds:.1f} s; limits, starts and health allow {got.bound_s:.1f} s at best")
-    click.echo(f"updates that came to their end: {', '.join(got.ended) or 'none'}")
-    sys.exit(0 if got.good() else 1)
+    click.echo(f"{result.seconds:.1f} s; limits, starts and health allow {result.bound_s:.1f} s at best")
+    click.echo(f"updates that came to their end: {', '.join(result.ended) or 'none'}")
+    sys.exit(0 if result.good() else 1)
 
 
 @lab.command()
@@ -245,17 +249,17 @@
 @_SEED
 @_FOLDER
 def submits(count: int, seed: int, folder: Path | None) -> None:
-    """Submit by real qsub processes against flaky nodes; count answers from the recording and from qstat."""
+    """Submit with real qsub processes to flaky nodes; count answers from the recording and from qstat."""
     from ladderhub.lab.load import thousand
 
-    got = thousand(count, seed, click.echo, keep=folder)
-    click.echo(f"acknowledged {got.acknowledged}, commands that failed {got.failed_commands}")
-    click.echo(f"by the recording: {got.by_recording}")
-    click.echo(f"by qstat:         {got.by_qstat}")
-    for line in got.verdict.lines():
+    result = thousand(count, seed, click.echo, keep=folder)
+    click.echo(f"acknowledged {result.acknowledged}, commands that failed {result.failed_commands}")
+    click.echo(f"by the recording: {result.by_recording}")
+    click.echo(f"by qstat:         {result.by_qstat}")
+    for line in result.verdict.lines():
         click.echo(line)
-    click.echo("the two agree" if got.agree else "the two do NOT agree")
-    sys.exit(0 if got.agree and got.verdict.good() else 1)
+    click.echo("the two agree" if result.agree else "the two do NOT agree")
+    sys.exit(0 if result.agree and result.verdict.good() else 1)
 
 
 @lab.command()
@@ -287,7 +291,7 @@
     seconds: float | None, seed: int | None, speedup: float | None, slopes: bool, stage: str,
     predict: Path | None, report: Path | None, folder: Path | None,
 ) -> None:  # fmt: skip
-    """Play the planned size with real and hollow processes; exit status 0 where every budget holds.
+    """Run the planned size with real and hollow processes; exit status 0 where every budget holds.
 
     Sizes come from the plan's file; options override it.  Stages keep their figures in --folder."""
     import tempfile
@@ -301,9 +305,9 @@
         schedulers, hollow_schedulers, nodes, starts, running, teams, changes, seconds, seed, speedup
     )
     with tempfile.TemporaryDirectory(prefix="ladderhub-scale-") as scratch:
-        place = folder if folder is not None else Path(scratch)
+        run_folder = folder if folder is not None else Path(scratch)
         try:
-            good = run_scale(Options(place, stage, slopes, plan, report, predict, given), click.echo)
+            good = run_scale(Options(run_folder, stage, slopes, plan, report, predict, given), click.echo)
         except LadderhubError as fault:
             fail(fault, "ladderhub lab scale")
     sys.exit(0 if good else 1)
--- a/ladderhub/cli/policy.py
+++ b/ladderhub/cli/policy.py
@@ -1,4 +1,4 @@
-"""`ladderhub policy`: the configuration of the fleet as numbered revisions, asked of one scheduler."""
+"""`ladderhub policy`: shows and changes the fleet's configuration revisions through one scheduler."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 import click
 
-from ladderhub.commands.client import CommandError, Connection, words
+from ladderhub.commands.client import CommandError, Connection, describe_error
 from ladderhub.errors import LadderhubError
 from ladderhub.pbs import names as n
 from ladderhub.pbs.batch import Attr, Reply, Request, Row
 
-BAD_FILE, REFUSED, LOST, NO_MAJORITY = 1, 2, 4, 5  # exit statuses; 3: no server, as of all commands
-SHOWN_DIGEST = 12  # digits of it that people are shown
+EXIT_BAD_FILE, EXIT_REFUSED, EXIT_LOST, EXIT_NO_MAJORITY = 1, 2, 4, 5  # 3: no server, as in all commands
+DIGEST_DIGITS = 12  # digits of a digest that are printed
 CURRENT = "current"
 _SERVER = click.option("--server", default="", help="HOST:PORT of the scheduler; PBS_SERVER by default.")
 
@@ -29,7 +29,7 @@
     sys.exit(status)
 
 
-def _request(server: str, command: int, name: str = "", attrs: list[Attr] | None = None) -> Reply:
+def _send_request(server: str, command: int, name: str = "", attrs: list[Attr] | None = None) -> Reply:
     try:
         connection = Connection(server)
         request = Request(n.MANAGER, name=name, attrs=attrs, command=command, object_type=n.OBJ_POLICY)
@@ -40,14 +40,14 @@
     return reply
 
 
-def _rows(reply: Reply) -> list[Row]:
+def _get_rows(reply: Reply) -> list[Row]:
     if reply.code:
-        _fail(words(reply), REFUSED)
+        _fail(describe_error(reply), EXIT_REFUSED)
     return reply.rows
 
 
 def _read_body(file: Path) -> bytes:
-    """The policy in a file: that of whole settings, or the policy alone; ends the command if it is none."""
+    """Reads the policy from a settings file or a policy file; an invalid file ends the command."""
     from ladderhub.server.settings import check, encode_policy, evaluate
     from ladderhub.server.settings.policy import decode_policy
 
@@ -59,7 +59,7 @@
 
         return encode_policy(decode_policy(msgspec.json.encode(value), str(file)))
     except LadderhubError as fault:
-        _fail(f"{fault} ({fault.remedy})", BAD_FILE)
+        _fail(f"{fault} ({fault.remedy})", EXIT_BAD_FILE)
 
 
 # --- apply ----------------------------------------------------------------------------------------------
@@ -74,28 +74,28 @@
 )
 @_SERVER
 def apply(file: Path, author: str, reason: str, parent: int | None, server: str) -> None:
-    """Have the policy in FILE chosen as the next revision: a settings file or its policy part.
+    """Propose the policy in FILE (a settings file or its policy part) as the next revision.
 
     Exit status: 0 in force (or was already), 1 the file, 2 refused by a member or by the scheduler, 3 no
     server, 4 another change came first, 5 no majority of the voters answered."""
     body = _read_body(file)
-    base = _base_of(server, parent)
+    base = _fetch_base(server, parent)
     if base is not None:
         _show_difference(base, body)
     number = base.get("number") if base is not None else "0"
     attrs = [
         Attr("body", body.decode()), Attr("author", author), Attr("reason", reason), Attr("parent", number)
     ]  # fmt: skip
-    row = _rows(_request(server, n.CMD_CREATE, "", attrs))[0]
-    sys.exit(_tell_outcome(row))
+    row = _get_rows(_send_request(server, n.CMD_CREATE, "", attrs))[0]
+    sys.exit(_print_outcome(row))
 
 
-def _base_of(server: str, parent: int | None) -> Row | None:
-    """The revision that the change is made from; None where none is in force yet."""
+def _fetch_base(server: str, parent: int | None) -> Row | None:
+    """Returns the revision that the change is based on; None where none is in force yet."""
     if parent is not None:
-        return _rows(_request(server, n.CMD_LIST, str(parent)))[0] if parent else None
-    reply = _request(server, n.CMD_LIST, CURRENT)
-    return None if reply.code == n.BAD_ATTRIBUTE_VALUE else _rows(reply)[0]
+        return _get_rows(_send_request(server, n.CMD_LIST, str(parent)))[0] if parent else None
+    reply = _send_request(server, n.CMD_LIST, CURRENT)
+    return None if reply.code == n.BAD_ATTRIBUTE_VALUE else _get_rows(reply)[0]
 
 
 def _show_difference(base: Row, body: bytes) -> None:
@@ -106,46 +106,48 @@
         click.echo(f"  {line}")
 
 
-def _tell_outcome(row: Row) -> int:
-    """Print what became of it; the exit status."""
-    told = _revision_words(row)
+def _print_outcome(row: Row) -> int:
+    """Prints the outcome of the change and returns the exit status."""
+    description = _describe_revision(row)
     match row.get("outcome"):
         case "applied":
-            click.echo(f"in force as {told}")
+            click.echo(f"in force as {description}")
             click.echo(f"confirmed by: {row.get('confirmed') or 'none'}")
             if row.get("silent"):
                 click.echo(f"silent, and told as soon as they are reached: {row.get('silent')}")
             return 0
         case "unchanged":
-            click.echo(f"unchanged: it is in force as {told}")
+            click.echo(f"unchanged: it is in force as {description}")
             return 0
         case "refused":
             click.echo(f"refused by {row.get('member')}: {row.get('fault')}; it is in force nowhere")
-            return REFUSED
+            return EXIT_REFUSED
         case "lost":
-            click.echo(f"another change came first: {told}; look at it, and apply again")
-            return LOST
+            click.echo(f"another change came first: {description}; look at it, and apply again")
+            return EXIT_LOST
         case "stale parent":
-            click.echo(f"made from a revision that is not in force: {told} is; look at it, and apply again")
-            return LOST
+            click.echo(
+                f"made from a revision that is not in force: {description} is; look at it, and apply again"
+            )
+            return EXIT_LOST
         case "no majority":
             click.echo(f"{row.get('answered')} of {row.get('voters')} voters answered: no majority")
-            follows = row.get("may_follow") == "True"
-            click.echo("it may yet come into force" if follows else "it will not come into force")
-            click.echo(f"what is in force was last confirmed {_age(row.get('age'))}")
-            return NO_MAJORITY
+            may_follow = row.get("may_follow") == "True"
+            click.echo("it may yet come into force" if may_follow else "it will not come into force")
+            click.echo(f"what is in force was last confirmed {_format_age(row.get('age'))}")
+            return EXIT_NO_MAJORITY
         case other:
             click.echo(f"{other}: {row.get('fault')}")
-            return REFUSED
+            return EXIT_REFUSED
 
 
-def _revision_words(row: Row) -> str:
-    number, digest = row.get("number"), row.get("digest")[:SHOWN_DIGEST]
+def _describe_revision(row: Row) -> str:
+    number, digest = row.get("number"), row.get("digest")[:DIGEST_DIGITS]
     return f"revision {number} ({digest}) by {row.get('author')}: {row.get('reason') or 'no reason given'}"
 
 
-def _age(text: str) -> str:
-    """Seconds, as a scheduler tells them."""
+def _format_age(text: str) -> str:
+    """Formats an age in seconds as a scheduler reports it."""
     return f"{text} s ago" if text not in ("", "unknown") else "not in this life of the scheduler"
 
 
@@ -159,8 +161,8 @@
     """Show the revision NUMBER, or the one in force, with its whole policy."""
     import msgspec
 
-    row = _rows(_request(server, n.CMD_LIST, CURRENT if number is None else str(number)))[0]
-    click.echo(f"// {_revision_words(row)}")
+    row = _get_rows(_send_request(server, n.CMD_LIST, CURRENT if number is None else str(number)))[0]
+    click.echo(f"// {_describe_revision(row)}")
     click.echo(f"// digest {row.get('digest')}, parent {row.get('parent')}, made_ms {row.get('made_ms')}")
     click.echo(msgspec.json.format(row.get("body").encode(), indent=2).decode())
 
@@ -168,18 +170,22 @@
 @policy.command()
 @_SERVER
 def status(server: str) -> None:
-    """Show what is in force at the scheduler, how sure it is of that, and what it knows of the others."""
-    asked, *members = _rows(_request(server, n.CMD_LIST))
-    in_force = _revision_words(asked) if asked.get("number") else "its settings file: nothing is chosen yet"
-    click.echo(f"{asked.name}: {in_force}")
-    click.echo(f"  {asked.get('revision_state')}; last confirmed {_age(asked.get('revision_age'))}")
-    click.echo(f"  its settings file: {asked.get('settings_file')}")
+    """Show the revision in force at the scheduler, when it was confirmed, and the revisions of the others."""
+    own_row, *members = _get_rows(_send_request(server, n.CMD_LIST))
+    in_force = (
+        _describe_revision(own_row) if own_row.get("number") else "its settings file: nothing is chosen yet"
+    )
+    click.echo(f"{own_row.name}: {in_force}")
+    click.echo(
+        f"  {own_row.get('revision_state')}; last confirmed {_format_age(own_row.get('revision_age'))}"
+    )
+    click.echo(f"  its settings file: {own_row.get('settings_file')}")
     for member in members:
-        click.echo(f"  {member.name:<16} {_member_words(member)}")
+        click.echo(f"  {member.name:<16} {_describe_member(member)}")
 
 
-def _member_words(member: Row) -> str:
+def _describe_member(member: Row) -> str:
     if not member.get("head"):
         return "not heard yet"
-    digest = member.get("digest")[:SHOWN_DIGEST]
+    digest = member.get("digest")[:DIGEST_DIGITS]
     return f"knows revision {member.get('head')} ({digest}), heard {member.get('heard')} s ago"
--- a/ladderhub/cli/rollout.py
+++ b/ladderhub/cli/rollout.py
@@ -1,4 +1,4 @@
-"""`ladderhub rollout`: services declared, updated and watched, at one scheduler, as batch commands do."""
+"""`ladderhub rollout`: declares, updates and watches services through one scheduler, with batch requests."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 import click
 
-from ladderhub.commands.client import CommandError, Connection, words
+from ladderhub.commands.client import CommandError, Connection, describe_error
 from ladderhub.errors import LadderhubError
 from ladderhub.pbs import names as n
 from ladderhub.pbs.batch import Attr, Reply, Request, Row
 
-BAR = 40
+BAR_WIDTH = 40
 _SERVER = click.option("--server", default="", help="HOST:PORT of the scheduler; PBS_SERVER by default.")
 
 
@@ -28,7 +28,7 @@
     sys.exit(status)
 
 
-def _ask(server: str, command: int, name: str, attrs: list[Attr] | None = None) -> Reply:
+def _send_request(server: str, command: int, name: str, attrs: list[Attr] | None = None) -> Reply:
     try:
         connection = Connection(server)
         request = Request(n.MANAGER, name=name, attrs=attrs, command=command, object_type=n.OBJ_SERVICE)
@@ -38,13 +38,12 @@
         _fail(str(fault), fault.status)
         raise
     if reply.code:
-        _fail(words(reply), 2)
+        _fail(describe_error(reply), 2)
     return reply
 
 
-def read_file(path: Path) -> tuple[str, list[Attr]]:
-    """A service's name and the attributes of its declaration; exits with one message where it can't be
-    read."""
+def read_service_file(path: Path) -> tuple[str, list[Attr]]:
+    """Reads a service's name and the attributes of its declaration; an invalid file ends the command."""
     from ladderhub.server.settings import evaluate
 
     try:
@@ -65,40 +64,43 @@
                 _fail(f"{path}: script_file: {script}: {fault.strerror}", 1)
         elif key == "resources":
             attrs += [
-                Attr("Resource_List", _text(path, key, each), name) for name, each in _table(path, key, found)
+                Attr("Resource_List", _format_value(path, key, each), name)
+                for name, each in _check_object(path, key, found)
             ]
         elif key == "variables":
-            pairs = [f"{name}={_text(path, key, each)}" for name, each in _table(path, key, found)]
+            pairs = [
+                f"{name}={_format_value(path, key, each)}" for name, each in _check_object(path, key, found)
+            ]
             escaped = [pair.replace("\\", "\\\\").replace(",", "\\,") for pair in pairs]
             attrs.append(Attr("Variable_List", ",".join(escaped)))
         elif key == "update":
-            for name, each in _table(path, key, found):
+            for name, each in _check_object(path, key, found):
                 if name == "failures":
-                    inner = _table(path, "update.failures", each)
-                    attrs += [Attr("update", _text(path, key, x), f"failures_{k}") for k, x in inner]
+                    inner = _check_object(path, "update.failures", each)
+                    attrs += [Attr("update", _format_value(path, key, x), f"failures_{k}") for k, x in inner]
                 else:
-                    attrs.append(Attr("update", _text(path, key, each), name))
+                    attrs.append(Attr("update", _format_value(path, key, each), name))
         elif key in ("queue", "count", "script"):
-            attrs.append(Attr(key, _text(path, key, found)))
+            attrs.append(Attr(key, _format_value(path, key, found)))
         elif key == "account":
-            attrs.append(Attr("Account_Name", _text(path, key, found)))
+            attrs.append(Attr("Account_Name", _format_value(path, key, found)))
         elif key == "output":
-            attrs.append(Attr("Output_Path", _text(path, key, found)))
+            attrs.append(Attr("Output_Path", _format_value(path, key, found)))
         elif key == "error":
-            attrs.append(Attr("Error_Path", _text(path, key, found)))
+            attrs.append(Attr("Error_Path", _format_value(path, key, found)))
         else:
             known = "service, queue, count, script, script_file, resources, variables, account, output, error"
             _fail(f"{path}: {key}: unknown; {known} and update are known", 1)
     return value["service"], attrs
 
 
-def _table(path: Path, key: str, value: Any) -> list[tuple[str, Any]]:
+def _check_object(path: Path, key: str, value: Any) -> list[tuple[str, Any]]:
     if not isinstance(value, dict):
         _fail(f"{path}: {key}: found {value!r}; an object is meant", 1)
     return list(value.items())
 
 
-def _text(path: Path, key: str, value: Any) -> str:
+def _format_value(path: Path, key: str, value: Any) -> str:
     if isinstance(value, bool) or not isinstance(value, str | int | float):
         _fail(f"{path}: {key}: found {value!r}; a text or a number is meant", 1)
     return f"{value:g}" if isinstance(value, float) else str(value)
@@ -116,21 +118,23 @@
 @click.option("--watch", is_flag=True, help="Stay and show it until it is over or pauses.")
 @_SERVER
 def start(file: Path, if_busy: str, watch: bool, server: str) -> None:
-    """Declare the service in FILE, or update it to what FILE says."""
-    name, attrs = read_file(file)
-    reply = _ask(server, n.CMD_CREATE, name, [*attrs, Attr("if_busy", if_busy)])
-    _show(reply.rows)
+    """Declare the service in FILE, or update it to match FILE."""
+    name, attrs = read_service_file(file)
+    reply = _send_request(server, n.CMD_CREATE, name, [*attrs, Attr("if_busy", if_busy)])
+    _print_services(reply.rows)
     if watch:
-        _watch(server, name)
+        _watch_service(server, name)
 
 
 @rollout.command()
 @click.argument("file", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 @_SERVER
 def plan(file: Path, server: str) -> None:
-    """Show what updating to FILE would come to.  Nothing is touched."""
-    name, attrs = read_file(file)
-    row = _ask(server, n.CMD_CREATE, name, [*attrs, Attr("plan", "1"), Attr("if_busy", "queue")]).rows[0]
+    """Show what an update to FILE would do, without changing anything."""
+    name, attrs = read_service_file(file)
+    row = _send_request(
+        server, n.CMD_CREATE, name, [*attrs, Attr("plan", "1"), Attr("if_busy", "queue")]
+    ).rows[0]
     old = f"in place of version {row.get('replaces')}" if row.get("replaces") else "for the first time"
     click.echo(f"{name}: {row.get('count')} copies of {row.get('effect')} work, {old}")
     click.echo(f"{row.get('waves')} waves, {row.get('at_once')} copies at once, bound by {row.get('bound')}")
@@ -146,22 +150,26 @@
 def status(name: str, watch: bool, server: str) -> None:
     """Show the service NAME, or all: copies new, old and down, and why it waits now."""
     if watch and name:
-        _watch(server, name)
+        _watch_service(server, name)
         return
-    _show(_ask(server, n.CMD_LIST, name).rows)
+    _print_services(_send_request(server, n.CMD_LIST, name).rows)
+
 
+def _add_action_command(action: str, about: str) -> None:
+    """Adds a command that sends `action` for one service."""
 
-def _wish(action: str, about: str) -> None:
     @rollout.command(action, help=about)
     @click.argument("name")
     @_SERVER
     def command(name: str, server: str) -> None:
-        _show(_ask(server, n.CMD_SET, name, [Attr("action", action)]).rows)
+        _print_services(_send_request(server, n.CMD_SET, name, [Attr("action", action)]).rows)
 
 
-_wish("pause", "Stop replacing copies of NAME; what is down is filled with what last ran well there.")
-_wish("resume", "Go on with NAME; failures until now are forgiven.")
-_wish("abort", "Take NAME back to the version before, within the same limits.")
+_add_action_command(
+    "pause", "Stop replacing copies of NAME; what is down is filled with what last ran well there."
+)
+_add_action_command("resume", "Go on with NAME; failures until now are forgiven.")
+_add_action_command("abort", "Take NAME back to the version before, within the same limits.")
 
 
 @rollout.command()
@@ -169,39 +177,40 @@
 @_SERVER
 def remove(name: str, server: str) -> None:
     """End all copies of NAME and forget it."""
-    _ask(server, n.CMD_DELETE, name)
+    _send_request(server, n.CMD_DELETE, name)
     click.echo(f"{name}: its copies are being ended")
 
 
-def bar(row: Row, width: int = BAR) -> str:
-    """New copies as #, old ones as =, those that are down as dots."""
+def draw_bar(row: Row, width: int = BAR_WIDTH) -> str:
+    """Draws the progress bar: # for new copies, = for old ones, . for those that are down."""
     count = max(1, int(row.get("count")))
     new = int(row.get("new")) * width // count
     down = -(-int(row.get("down")) * width // count)
     return "#" * new + "=" * max(0, width - new - down) + "." * min(down, width - new)
 
 
-def _line(row: Row) -> str:
+def _format_line(row: Row) -> str:
     return (
-        f"{row.name:<16} [{bar(row)}] {row.get('stage'):<6} v{row.get('version')}: {row.get('new')} new, "
-        f"{row.get('old')} old, {row.get('down')} down, {row.get('alive')} alive of {row.get('count')}"
+        f"{row.name:<16} [{draw_bar(row)}] {row.get('stage'):<6} v{row.get('version')}: "
+        f"{row.get('new')} new, {row.get('old')} old, {row.get('down')} down, "
+        f"{row.get('alive')} alive of {row.get('count')}"
     )
 
 
-def _show(rows: list[Row]) -> None:
+def _print_services(rows: list[Row]) -> None:
     for row in rows:
-        click.echo(_line(row))
+        click.echo(_format_line(row))
         for attr in row.attrs:
             if attr.name == "wait":
                 click.echo(f"    {attr.value}")
 
 
-def _watch(server: str, name: str) -> None:
+def _watch_service(server: str, name: str) -> None:
     last = ""
     while True:
-        row = _ask(server, n.CMD_LIST, name).rows[0]
+        row = _send_request(server, n.CMD_LIST, name).rows[0]
         waits = "; ".join(attr.value for attr in row.attrs if attr.name == "wait")
-        line = _line(row) + (f"  ({waits})" if waits else "")
+        line = _format_line(row) + (f"  ({waits})" if waits else "")
         if line != last:
             click.echo(line)
             last = line
--- a/ladderhub/commands/__init__.py
+++ b/ladderhub/commands/__init__.py
@@ -1,4 +1,5 @@
-"""The batch commands that people type: `qsub`, `qstat`, `qdel` and the rest (POSIX.1-2008 utilities).
+"""The batch commands for users: `qsub`, `qstat`, `qdel` and the others (POSIX.1-2008 utilities).
 
-Blocking sockets and the standard library alone, since these start by the thousand.  Imports `pbs` only.
+They use blocking sockets and the standard library only, because scripts start them by the thousand.  Imports
+`pbs` only.
 """
--- a/ladderhub/commands/client.py
+++ b/ladderhub/commands/client.py
@@ -1,7 +1,7 @@
-"""What all commands share: which server, one connection, options, diagnostics, exit statuses.
+"""Code that all commands share: server address, connection, options, error messages, exit statuses.
 
-Exit statuses: 0 all done, 1 usage or server trouble, 2 the server refused (some of) what was asked, 3 no
-server.
+Exit statuses: 0 success, 1 wrong usage or a local error, 2 the server refused at least one request, 3 the
+server could not be reached.
 """
 
 from __future__ import annotations
@@ -19,39 +19,40 @@
 
 DEFAULT_PORT = 15001
 TIMEOUT_S = 20.0
-USAGE, REFUSED, UNREACHED = 1, 2, 3
+EXIT_USAGE, EXIT_REFUSED, EXIT_UNREACHED = 1, 2, 3
 
 
 class CommandError(LadderhubError):
-    """Ends the command with one message and its exit status: usage, or trouble here."""
+    """Ends the command with one message and its exit status: wrong usage or a local error."""
 
-    status, code = USAGE, n.INVALID_REQUEST
+    status, code = EXIT_USAGE, n.INVALID_REQUEST
     remedy = "give the command as its usage says"
 
 
 class RefusedError(CommandError):
-    """The server refused what was asked."""
+    """The server refused the request."""
 
-    status, code = REFUSED, n.INVALID_REQUEST
+    status, code = EXIT_REFUSED, n.INVALID_REQUEST
     remedy = "read the server's reason; it took nothing"
 
 
 class UnreachedError(CommandError):
-    """No server, or none that answers."""
+    """No server is named, or it can't be reached or does not answer."""
 
-    status, code = UNREACHED, n.NO_SERVER
+    status, code = EXIT_UNREACHED, n.NO_SERVER
     remedy = "look at PBS_SERVER and whether that scheduler runs; `qstat -B` asks it alone"
 
 
-def options(argv: list[str], letters: str, usage: str) -> tuple[list[tuple[str, str]], list[str]]:
-    """Options in order and operands; a wrong option is told with the usage."""
+def parse_options(argv: list[str], letters: str, usage: str) -> tuple[list[tuple[str, str]], list[str]]:
+    """Returns the options in order and the operands; a wrong option ends the command with the usage."""
     try:
         return getopt.getopt(argv, letters, ["version", "help"])
     except getopt.GetoptError as fault:
         raise CommandError(f"{fault}\nusage: {usage}") from None
 
 
-def user() -> str:
+def get_user_name() -> str:
+    """Returns the login name, or the numeric user ID where there is none."""
     name = os.environ.get("LOGNAME") or os.environ.get("USER")
     if name:
         return name
@@ -63,8 +64,8 @@
         return str(os.getuid())
 
 
-def server_of(name: str = "") -> tuple[str, int]:
-    """HOST:PORT of `name`, else of PBS_SERVER, else of PBS_DEFAULT."""
+def parse_server_address(name: str = "") -> tuple[str, int]:
+    """Returns host and port from `name`, else from PBS_SERVER, else from PBS_DEFAULT."""
     text = name or os.environ.get("PBS_SERVER") or os.environ.get("PBS_DEFAULT") or ""
     if not text:
         raise UnreachedError("no server is named; set PBS_SERVER=HOST:PORT")
@@ -80,7 +81,7 @@
     """One blocking connection to a server."""
 
     def __init__(self, name: str = "") -> None:
-        self.address = server_of(name)
+        self.address = parse_server_address(name)
         try:
             self._sock = socket.create_connection(self.address, timeout=TIMEOUT_S)
         except OSError as fault:
@@ -89,10 +90,10 @@
             raise UnreachedError(f"cannot connect to server {where} ({why})") from None
         self._sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._parser = ReplyParser()
-        self.user = user()
+        self.user = get_user_name()
 
     def send(self, *requests: Request) -> list[Reply]:
-        """Send requests in one go and give their replies in order."""
+        """Sends the requests together and returns their replies in order."""
         for request in requests:
             request.user = self.user
         replies: list[Reply] = []
@@ -116,9 +117,11 @@
         return replies
 
     def ask(self, request: Request) -> Reply:
+        """Sends one request and returns its reply."""
         return self.send(request)[0]
 
     def close(self) -> None:
+        """Sends Disconnect and closes the socket; errors are ignored."""
         try:
             self._sock.sendall(encode_request(Request(n.DISCONNECT, self.user)))
             self._sock.close()
@@ -126,13 +129,13 @@
             return
 
 
-def words(reply: Reply) -> str:
-    """What an error reply says."""
+def describe_error(reply: Reply) -> str:
+    """Returns the text of an error reply, or the published text of its code."""
     return reply.text or n.ERRORS.get(reply.code, f"error {reply.code}")
 
 
-def job_operands(operands: list[str], usage: str) -> list[str]:
-    """Job identifiers `number[.server][@server]`, checked."""
+def parse_job_ids(operands: list[str], usage: str) -> list[str]:
+    """Checks job identifiers `number[.server][@server]` and returns them without `@server`."""
     if not operands:
         raise CommandError(f"usage: {usage}")
     jobs = []
@@ -144,27 +147,35 @@
     return jobs
 
 
-def each_job(
-    name: str, jobs: list[str], connection: Connection, make: Callable[[str], Request], show: bool = False
+def send_for_each_job(
+    name: str,
+    jobs: list[str],
+    connection: Connection,
+    make_request: Callable[[str], Request],
+    show_text: bool = False,
 ) -> int:
-    """One request for each job; every refusal is told, and the rest goes on."""
+    """Sends one request for each job, prints each refusal and continues; returns the exit status."""
     status = 0
     for job in jobs:
-        reply = connection.ask(make(job))
+        reply = connection.ask(make_request(job))
         if reply.code:
-            status = REFUSED
-            sys.stderr.write(f"{name}: {words(reply)} {'' if job in words(reply) else job}".rstrip() + "\n")
-        elif show and reply.text:
+            status = EXIT_REFUSED
+            sys.stderr.write(
+                f"{name}: {describe_error(reply)} {'' if job in describe_error(reply) else job}".rstrip()
+                + "\n"
+            )
+        elif show_text and reply.text:
             sys.stderr.write(f"{name}: {job}: {reply.text}\n")
     return status
 
 
-def resource_attrs(name: str, items: list[tuple[str, str]]) -> list[Attr]:
+def make_resource_attrs(name: str, items: list[tuple[str, str]]) -> list[Attr]:
+    """Returns one attribute `name.resource` for each pair of resource and value."""
     return [Attr(name, value, resource) for resource, value in items]
 
 
-def run(name: str, main: Callable[[list[str]], int]) -> None:
-    """Run a command: one message on standard error where it fails, and its exit status."""
+def run_command(name: str, main: Callable[[list[str]], int]) -> None:
+    """Runs a command and exits with its status; a failure prints one message on standard error."""
     try:
         if sys.argv[1:2] == ["--version"]:
             from ladderhub import __version__
--- a/ladderhub/commands/jobattrs.py
+++ b/ladderhub/commands/jobattrs.py
@@ -1,4 +1,4 @@
-"""Options of `qsub` and `qalter` that become attributes of a job, checked, and what is told about them."""
+"""Options of `qsub` and `qalter` that become attributes of a job: checks and warnings."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 from ladderhub.pbs.batch import Attr
 from ladderhub.pbs.dates import parse_date
 
-NAME_MOST = 236
-NAMES = {
+MAX_NAME_LENGTH = 236
+ATTRIBUTE_NAMES = {
     "A": "Account_Name", "a": "Execution_Time", "c": "Checkpoint", "e": "Error_Path", "j": "Join_Path",
     "k": "Keep_Files", "m": "Mail_Points", "M": "Mail_Users", "N": "Job_Name", "o": "Output_Path",
     "p": "Priority", "P": "project", "r": "Rerunable", "S": "Shell_Path_List",
 }  # fmt: skip
 
 
-def check(letter: str, value: str) -> None:
-    """The value of one option; `ValueError` says what was meant."""
+def check_option(letter: str, value: str) -> None:
+    """Checks the value of one option; `ValueError` says which values are valid."""
     if letter == "N":
         if (
             not value
-            or len(value) > NAME_MOST
+            or len(value) > MAX_NAME_LENGTH
             or any(char.isspace() or not char.isprintable() for char in value)
         ):
             raise ValueError(
-                f"{value!r}: a name of 1 to {NAME_MOST} printable characters without spaces is meant"
+                f"{value!r}: a name of 1 to {MAX_NAME_LENGTH} printable characters without spaces is meant"
             )
         if not (value[0].isalpha() or value[0] in "_+"):
             raise ValueError(f"{value}: a name begins with a letter")
@@ -44,30 +44,32 @@
     elif letter == "m" and value != "n" and (not value or set(value) - set("abej")):
         raise ValueError(f"{value}: n, or letters of a, b and e are meant")
     elif letter == "c":
-        word, equals, minutes = value.partition("=")
-        if not (value in ("n", "u", "s", "c", "w") or (word in ("c", "w") and equals and minutes.isdigit())):
+        kind, equals, minutes = value.partition("=")
+        if not (value in ("n", "u", "s", "c", "w") or (kind in ("c", "w") and equals and minutes.isdigit())):
             raise ValueError(f"{value}: n, u, s, c, w, c=minutes or w=minutes is meant")
     elif letter == "a":
         parse_date(value, int(time.time()))
 
 
-def attr_of(letter: str, value: str) -> Attr:
-    """The attribute of one checked option, as it goes to the server."""
+def make_attr(letter: str, value: str) -> Attr:
+    """Returns the attribute that a checked option is sent as."""
     if letter == "a":
         value = str(parse_date(value, int(time.time())))
     elif letter == "r":
         value = "True" if value == "y" else "False"
-    return Attr(NAMES[letter], value)
+    return Attr(ATTRIBUTE_NAMES[letter], value)
 
 
-def warnings(attrs: list[Attr]) -> list[str]:
-    """One line for each attribute that is taken though nothing acts on it, but where that changes nothing."""
+def list_warnings(attrs: list[Attr]) -> list[str]:
+    """Returns one warning for each attribute that the server stores but does not act on.
+
+    Values that ask for nothing (priority 0, no mail) give no warning."""
     given = {attr.name: attr.value for attr in attrs}
-    quiet = {"Priority": ("0",), "Mail_Points": ("n",)}
-    lines: dict[str, str] = {}
-    for name, why in SHOWN.items():
+    harmless = {"Priority": ("0",), "Mail_Points": ("n",)}
+    found: dict[str, str] = {}
+    for name, note in SHOWN.items():
         value = given.get(name, "")
-        silent = name == "Mail_Users" and given.get("Mail_Points") == "n"
-        if why and value and value not in quiet.get(name, ()) and not silent:
-            lines.setdefault(why, f"{name}={value}: {why}")
-    return list(lines.values())
+        unused = name == "Mail_Users" and given.get("Mail_Points") == "n"
+        if note and value and value not in harmless.get(name, ()) and not unused:
+            found.setdefault(note, f"{name}={value}: {note}")
+    return list(found.values())
--- a/ladderhub/commands/pbsnodes.py
+++ b/ladderhub/commands/pbsnodes.py
@@ -1,10 +1,10 @@
-"""`pbsnodes`: show nodes, take them off (`-o`) and bring them back (`-r`), as in OpenPBS."""
+"""`pbsnodes`: show nodes, set them offline (`-o`) or free again (`-r`), as in OpenPBS."""
 
 from __future__ import annotations
 
 import sys
 
-from ladderhub.commands import client as c
+from ladderhub.commands import client
 from ladderhub.pbs import names as n
 from ladderhub.pbs.batch import Attr, Request, Row
 
@@ -12,20 +12,20 @@
 
 
 def main(argv: list[str]) -> int:
-    options, nodes = c.options(argv, "alor", USAGE)
+    options, nodes = client.parse_options(argv, "alor", USAGE)
     given = dict(options)
-    connection = c.Connection()
+    connection = client.Connection()
     if "-o" in given or "-r" in given:
         if not nodes:
-            raise c.CommandError(f"usage: {USAGE}")
-        return _set(connection, nodes, "offline" if "-o" in given else "free")
+            raise client.CommandError(f"usage: {USAGE}")
+        return _set_state(connection, nodes, "offline" if "-o" in given else "free")
     rows: list[Row] = []
     status = 0
     for node in nodes or [""]:
         reply = connection.ask(Request(n.STATUS_NODE, name=node))
         if reply.code:
-            sys.stderr.write(f"pbsnodes: {c.words(reply)}\n")
-            status = c.REFUSED
+            sys.stderr.write(f"pbsnodes: {client.describe_error(reply)}\n")
+            status = client.EXIT_REFUSED
         rows += reply.rows
     if "-l" in given:
         for row in rows:
@@ -40,7 +40,7 @@
     return status
 
 
-def _set(connection: c.Connection, nodes: list[str], state: str) -> int:
+def _set_state(connection: client.Connection, nodes: list[str], state: str) -> int:
     status = 0
     for node in nodes:
         reply = connection.ask(
@@ -49,10 +49,10 @@
             )
         )
         if reply.code:
-            sys.stderr.write(f"pbsnodes: {c.words(reply)}\n")
-            status = c.REFUSED
+            sys.stderr.write(f"pbsnodes: {client.describe_error(reply)}\n")
+            status = client.EXIT_REFUSED
     return status
 
 
 def run() -> None:
-    c.run("pbsnodes", main)
+    client.run_command("pbsnodes", main)
--- a/ladderhub/commands/qstat.py
+++ b/ladderhub/commands/qstat.py
@@ -1,4 +1,4 @@
-"""`qstat`: status of jobs, queues and the server (POSIX.1-2008 `qstat`; more as in OpenPBS)."""
+"""`qstat`: status of jobs, queues and the server (POSIX.1-2008 `qstat`; extensions as in OpenPBS)."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import time
 from collections.abc import Callable
 
-from ladderhub.commands import client as c
+from ladderhub.commands import client
 from ladderhub.pbs import names as n
 from ladderhub.pbs.attributes import variables_of
 from ladderhub.pbs.batch import Attr, Request, Row
@@ -15,13 +15,13 @@
     "qstat [-f [-F json|dsv]] [-x] [-a|-i|-r|-H] [-n [-1]] [-s] [-w] [-u users] [-Q|-B] "
     "[job|queue|server ...]"
 )
-LETTERS = "afF:xHinru:QBw1s"
-NUMBERS = frozenset((
+OPTION_LETTERS = "afF:xHinru:QBw1s"
+NUMERIC_ATTRIBUTES = frozenset((
     "Exit_status", "Priority", "cpupercent", "list_version", "mpiprocs", "ncpus", "nodect", "nodes",
     "ompthreads", "owed", "placement_time_ns", "run_count", "session_id", "substate", "total_jobs",
 ))  # fmt: skip
-TIMES = ("ctime", "mtime", "stime", "qtime")
-_SHORT = (
+TIME_ATTRIBUTES = ("ctime", "mtime", "stime", "qtime")
+_TABLE_ATTRIBUTES = (
     "Job_Name",
     "Job_Owner",
     "job_state",
@@ -34,23 +34,27 @@
 
 
 def main(argv: list[str]) -> int:
-    options, operands = c.options(argv, LETTERS, USAGE)
+    options, operands = client.parse_options(argv, OPTION_LETTERS, USAGE)
     given = dict(options)
-    form = given.get("-F", "")
-    if form not in ("", "json", "dsv"):
-        raise c.CommandError(f"-F {form}: json or dsv is meant")
-    if form and "-f" not in given:
+    output_format = given.get("-F", "")
+    if output_format not in ("", "json", "dsv"):
+        raise client.CommandError(f"-F {output_format}: json or dsv is meant")
+    if output_format and "-f" not in given:
         given["-f"] = ""
-    connection = c.Connection()
+    connection = client.Connection()
     if "-Q" in given:
-        return _objects(connection, n.STATUS_QUEUE, operands, "-f" in given, form, "Queue", _queue_table)
+        return _print_objects(
+            connection, n.STATUS_QUEUE, operands, "-f" in given, output_format, "Queue", _print_queue_table
+        )
     if "-B" in given:
-        return _objects(connection, n.STATUS_SERVER, operands, "-f" in given, form, "Server", _server_table)
-    return _jobs(connection, given, operands, form)
+        return _print_objects(
+            connection, n.STATUS_SERVER, operands, "-f" in given, output_format, "Server", _print_server_table
+        )
+    return _print_jobs(connection, given, operands, output_format)
 
 
-def _fetch(
-    connection: c.Connection, kind: int, names: list[str], extension: str, attrs: list[Attr]
+def _fetch_rows(
+    connection: client.Connection, kind: int, names: list[str], extension: str, attrs: list[Attr]
 ) -> tuple[list[Row], int]:
     rows: list[Row] = []
     status = 0
@@ -59,16 +63,18 @@
         request.job = request.name = name
         reply = connection.ask(request)
         if reply.code:
-            sys.stderr.write(f"qstat: {c.words(reply)}\n")
-            status = c.REFUSED
+            sys.stderr.write(f"qstat: {client.describe_error(reply)}\n")
+            status = client.EXIT_REFUSED
         rows += reply.rows
     return rows, status
 
 
-def _jobs(connection: c.Connection, given: dict[str, str], operands: list[str], form: str) -> int:
+def _print_jobs(
+    connection: client.Connection, given: dict[str, str], operands: list[str], output_format: str
+) -> int:
     extension = "x" if "-x" in given or "-H" in given else ""
-    attrs = [] if "-f" in given else [Attr(name, "") for name in _SHORT]
-    rows, status = _fetch(connection, n.STATUS_JOB, operands, extension, attrs)
+    attrs = [] if "-f" in given else [Attr(name, "") for name in _TABLE_ATTRIBUTES]
+    rows, status = _fetch_rows(connection, n.STATUS_JOB, operands, extension, attrs)
     if "-u" in given:
         users = {name.partition("@")[0] for name in given["-u"].split(",")}
         rows = [row for row in rows if row.get("Job_Owner").partition("@")[0] in users]
@@ -76,18 +82,18 @@
     for option, letters in states.items():
         if option in given:
             rows = [row for row in rows if row.get("job_state") in letters]
-    if form == "json":
-        _json("Jobs", rows)
+    if output_format == "json":
+        _print_json("Jobs", rows)
     elif "-f" in given:
-        _full("Job Id", rows, form)
+        _print_full("Job Id", rows, output_format)
     elif rows and any(option in given for option in ("-a", "-i", "-r", "-u", "-n", "-H", "-s", "-w")):
-        _wide(rows, given)
+        _print_wide_job_table(rows, given)
     elif rows:
-        _table(rows)
+        _print_job_table(rows)
     return status
 
 
-def _table(rows: list[Row]) -> None:
+def _print_job_table(rows: list[Row]) -> None:
     lines = [
         "Job id            Name             User              Time Use S Queue",
         "----------------  ---------------- ----------------  -------- - -----",
@@ -101,8 +107,8 @@
     sys.stdout.write("\n".join(lines) + "\n")
 
 
-def _wide(rows: list[Row], given: dict[str, str]) -> None:
-    # `-w` widens the columns to 120 characters, so that identifiers and names are seen whole (OpenPBS).
+def _print_wide_job_table(rows: list[Row], given: dict[str, str]) -> None:
+    # `-w` widens the table to 120 characters so that identifiers and names are not cut (OpenPBS).
     job, user, queue, name = (30, 15, 15, 15) if "-w" in given else (15, 8, 8, 10)
     titles = (("Job ID", job), ("Username", user), ("Queue", queue), ("Jobname", name))
     title = " ".join(f"{word:<{width}}" for word, width in titles)
@@ -131,9 +137,11 @@
     sys.stdout.write("\n".join(lines) + "\n")
 
 
-def _typed(name: str, value: str) -> object:
-    """A number where the published form has one.  By name, not by look: a job may be called `12`."""
-    if name not in NUMBERS:
+def _convert_number(name: str, value: str) -> object:
+    """Converts a value to a number where the published JSON form has one.
+
+    The attribute's name decides, not the value: a job may be named `12`."""
+    if name not in NUMERIC_ATTRIBUTES:
         return value
     try:
         return int(value)
@@ -145,28 +153,31 @@
         return value
 
 
-def _value(attr: Attr) -> str:
-    if attr.name in TIMES and attr.value.isdigit():
+def _format_value(attr: Attr) -> str:
+    """Returns the value for display; times become local dates."""
+    if attr.name in TIME_ATTRIBUTES and attr.value.isdigit():
         return time.strftime("%a %b %d %H:%M:%S %Y", time.localtime(int(attr.value)))
     return attr.value
 
 
-def _full(title: str, rows: list[Row], form: str) -> None:
+def _print_full(title: str, rows: list[Row], output_format: str) -> None:
     out = []
     for row in rows:
-        if form == "dsv":
-            out.append("|".join([f"{title}: {row.name}", *(f"{a.key()}={_value(a)}" for a in row.attrs)]))
+        if output_format == "dsv":
+            out.append(
+                "|".join([f"{title}: {row.name}", *(f"{a.key()}={_format_value(a)}" for a in row.attrs)])
+            )
             continue
         out.append(f"{title}: {row.name}")
         for attr in row.attrs:
-            out += _folded(f"    {attr.key()} = {_value(attr)}")
+            out += _fold_line(f"    {attr.key()} = {_format_value(attr)}")
         out.append("")
     if out:
         sys.stdout.write("\n".join(out) + "\n")
 
 
-def _folded(line: str) -> list[str]:
-    """Long values go on in lines that begin with a tab, as PBS prints them."""
+def _fold_line(line: str) -> list[str]:
+    """Folds a long line; continuation lines begin with a tab, as PBS prints them."""
     if len(line) <= 78:
         return [line]
     lines = [line[:78]]
@@ -177,7 +188,7 @@
     return lines
 
 
-def _json(title: str, rows: list[Row]) -> None:
+def _print_json(title: str, rows: list[Row]) -> None:
     import json
 
     from ladderhub import __version__
@@ -189,7 +200,7 @@
             if attr.resource:
                 group = entry.setdefault(attr.name, {})
                 assert isinstance(group, dict)
-                group[attr.resource] = _typed(attr.resource, attr.value)
+                group[attr.resource] = _convert_number(attr.resource, attr.value)
             elif attr.name == "Variable_List":
                 entry[attr.name] = variables_of(attr.value)
             elif attr.name == "message":
@@ -197,9 +208,9 @@
                 assert isinstance(texts, list)
                 texts.append(attr.value)
             else:
-                entry[attr.name] = _typed(attr.name, _value(attr))
+                entry[attr.name] = _convert_number(attr.name, _format_value(attr))
         jobs[row.name] = entry
-    host, port = c.server_of()
+    host, port = client.parse_server_address()
     value = {
         "timestamp": int(time.time()), "pbs_version": f"ladderhub {__version__}",
         "pbs_server": f"{host}:{port}", title: jobs,
@@ -207,31 +218,31 @@
     sys.stdout.write(json.dumps(value, indent=4) + "\n")
 
 
-def _objects(
-    connection: c.Connection, kind: int, operands: list[str], full: bool, form: str, title: str,
+def _print_objects(
+    connection: client.Connection, kind: int, operands: list[str], full: bool, output_format: str, title: str,
     table: Callable[[list[Row]], None],
 ) -> int:  # fmt: skip
-    rows, status = _fetch(connection, kind, operands, "", [])
-    if form == "json":
-        _json(title, rows)
+    rows, status = _fetch_rows(connection, kind, operands, "", [])
+    if output_format == "json":
+        _print_json(title, rows)
     elif full:
-        _full(title, rows, form)
+        _print_full(title, rows, output_format)
     else:
         table(rows)
     return status
 
 
-def _counts(row: Row) -> dict[str, str]:
+def _parse_state_counts(row: Row) -> dict[str, str]:
     return dict(part.split(":") for part in row.get("state_count").split())
 
 
-def _queue_table(rows: list[Row]) -> None:
+def _print_queue_table(rows: list[Row]) -> None:
     lines = [
         "Queue              Max   Tot Ena Str   Que   Run   Hld   Wat   Trn   Ext Type",
         "---------------- ----- ----- --- --- ----- ----- ----- ----- ----- ----- ----",
     ]
     for row in rows:
-        counts = _counts(row)
+        counts = _parse_state_counts(row)
         flags = ["yes" if row.get(name) == "True" else "no" for name in ("enabled", "started")]
         numbers = " ".join(
             f"{counts.get(word, '0'):>5}"
@@ -243,13 +254,13 @@
     sys.stdout.write("\n".join(lines) + "\n")
 
 
-def _server_table(rows: list[Row]) -> None:
+def _print_server_table(rows: list[Row]) -> None:
     lines = [
         "Server             Max   Tot   Que   Run   Hld   Wat   Trn   Ext Status",
         "---------------- ----- ----- ----- ----- ----- ----- ----- ----- -----------",
     ]
     for row in rows:
-        counts = _counts(row)
+        counts = _parse_state_counts(row)
         numbers = " ".join(
             f"{counts.get(word, '0'):>5}"
             for word in ("Queued", "Running", "Held", "Waiting", "Transit", "Exiting")
@@ -261,7 +272,7 @@
 
 
 def run() -> None:
-    c.run("qstat", main)
+    client.run_command("qstat", main)
 
 
 if __name__ == "__main__":
--- a/ladderhub/commands/small.py
+++ b/ladderhub/commands/small.py
@@ -1,35 +1,35 @@
-"""The commands that send one request for each job: `qdel`, `qhold`, `qrls`, `qsig`, `qmsg` (POSIX.1-2008)."""
+"""Commands that send one request for each job: `qdel`, `qhold`, `qrls`, `qsig`, `qmsg` (POSIX.1-2008)."""
 
 from __future__ import annotations
 
-from ladderhub.commands import client as c
+from ladderhub.commands import client
 from ladderhub.pbs import names as n
 from ladderhub.pbs.batch import Attr, Request
 
 
 def _qdel(argv: list[str]) -> int:
     usage = "qdel [-v] job ..."
-    options, operands = c.options(argv, "W:v", usage)
-    jobs = c.job_operands(operands, usage)
+    options, operands = client.parse_options(argv, "W:v", usage)
+    jobs = client.parse_job_ids(operands, usage)
     extension = dict(options).get("-W", "")
-    return c.each_job(
-        "qdel", jobs, c.Connection(),
+    return client.send_for_each_job(
+        "qdel", jobs, client.Connection(),
         lambda job: Request(
             n.DELETE_JOB, job=job, command=n.CMD_DELETE, object_type=n.OBJ_JOB, extension=extension
         ),
-        show="-v" in dict(options),
+        show_text="-v" in dict(options),
     )  # fmt: skip
 
 
-def _holds(argv: list[str], name: str, kind: int) -> int:
+def _change_holds(argv: list[str], name: str, kind: int) -> int:
     usage = f"{name} [-h hold_list] job ..."
-    options, operands = c.options(argv, "h:", usage)
+    options, operands = client.parse_options(argv, "h:", usage)
     kinds = dict(options).get("-h", "u")
     if not kinds or any(letter not in "uosn" for letter in kinds):
-        raise c.CommandError(f"illegal -h value: {kinds}: letters of u, o, s or n are meant")
-    jobs = c.job_operands(operands, usage)
-    return c.each_job(
-        name, jobs, c.Connection(),
+        raise client.CommandError(f"illegal -h value: {kinds}: letters of u, o, s or n are meant")
+    jobs = client.parse_job_ids(operands, usage)
+    return client.send_for_each_job(
+        name, jobs, client.Connection(),
         lambda job: Request(
             kind, job=job, attrs=[Attr("Hold_Types", kinds)], command=n.CMD_SET, object_type=n.OBJ_JOB
         ),
@@ -38,41 +38,43 @@
 
 def _qsig(argv: list[str]) -> int:
     usage = "qsig [-s signal] job ..."
-    options, operands = c.options(argv, "s:", usage)
+    options, operands = client.parse_options(argv, "s:", usage)
     signal = dict(options).get("-s", "SIGTERM")
-    jobs = c.job_operands(operands, usage)
-    return c.each_job("qsig", jobs, c.Connection(), lambda job: Request(n.SIGNAL_JOB, job=job, text=signal))
+    jobs = client.parse_job_ids(operands, usage)
+    return client.send_for_each_job(
+        "qsig", jobs, client.Connection(), lambda job: Request(n.SIGNAL_JOB, job=job, text=signal)
+    )
 
 
 def _qmsg(argv: list[str]) -> int:
     usage = "qmsg [-E] [-O] message_string job ..."
-    options, operands = c.options(argv, "EO", usage)
+    options, operands = client.parse_options(argv, "EO", usage)
     if len(operands) < 2:
-        raise c.CommandError(f"usage: {usage}")
+        raise client.CommandError(f"usage: {usage}")
     given = dict(options)
     files = (n.MSG_ERR if "-E" in given or not given else 0) | (n.MSG_OUT if "-O" in given else 0)
-    jobs = c.job_operands(operands[1:], usage)
-    return c.each_job(
-        "qmsg", jobs, c.Connection(),
+    jobs = client.parse_job_ids(operands[1:], usage)
+    return client.send_for_each_job(
+        "qmsg", jobs, client.Connection(),
         lambda job: Request(n.MESSAGE_JOB, job=job, file_kind=files, text=operands[0]),
     )  # fmt: skip
 
 
 def qdel() -> None:
-    c.run("qdel", _qdel)
+    client.run_command("qdel", _qdel)
 
 
 def qhold() -> None:
-    c.run("qhold", lambda argv: _holds(argv, "qhold", n.HOLD_JOB))
+    client.run_command("qhold", lambda argv: _change_holds(argv, "qhold", n.HOLD_JOB))
 
 
 def qrls() -> None:
-    c.run("qrls", lambda argv: _holds(argv, "qrls", n.RELEASE_JOB))
+    client.run_command("qrls", lambda argv: _change_holds(argv, "qrls", n.RELEASE_JOB))
 
 
 def qsig() -> None:
-    c.run("qsig", _qsig)
+    client.run_command("qsig", _qsig)
 
 
 def qmsg() -> None:
-    c.run("qmsg", _qmsg)
+    client.run_command("qmsg", _qmsg)
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -1,4 +1,4 @@
-"""What people type, as processes of their own against real daemons; and daemons that are killed."""
+"""The commands as separate processes against real daemons, also after a daemon was killed."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from ladderhub.loop import Loop
 from ladderhub.node.runners import EmulatedSettings
 
-LONG = EmulatedSettings(warm_ns=20 * MS, cold_times=2.0, life_ns=(60 * S, 60 * S))
+LONG_JOBS = EmulatedSettings(warm_ns=20 * MS, cold_times=2.0, life_ns=(60 * S, 60 * S))
 
 
 @pytest.fixture
 def fleet(tmp_path: Path) -> Iterator[Fleet]:
-    made = Fleet(Loop(), tmp_path, nodes=3, schedulers=1, emulated=LONG, list_delay_ns=0)
+    made = Fleet(Loop(), tmp_path, nodes=3, schedulers=1, emulated=LONG_JOBS, list_delay_ns=0)
     try:
         made.start()
         yield made
@@ -47,15 +47,15 @@
     return out.strip()
 
 
-def state(fleet: Fleet, job: str) -> dict[str, Any]:
+def read_job(fleet: Fleet, job: str) -> dict[str, Any]:
     rows = json.loads(run(fleet, "qstat", "-x", "-f", "-F", "json", job))["Jobs"]
     found: dict[str, Any] = rows[job]
     return found
 
 
-def wait(fleet: Fleet, job: str, letter: str) -> dict[str, Any]:
+def wait_for_state(fleet: Fleet, job: str, letter: str) -> dict[str, Any]:
     for _ in range(100):
-        row = state(fleet, job)
+        row = read_job(fleet, job)
         if row["job_state"] == letter:
             return row
         fleet.run_for(50 * MS)
@@ -67,7 +67,7 @@
         fleet, "qsub", "-N", "mine", "-q", "billing", "-A", "north", script="#PBS -N other\n#PBS -l mem=2gb\n"
     )
     assert re.fullmatch(r"\d+\.sched0", job)
-    row = wait(fleet, job, "R")
+    row = wait_for_state(fleet, job, "R")
     assert (row["Job_Name"], row["queue"], row["placement"]) == ("mine", "billing", "placed")
     assert "mine" in run(fleet, "qstat") and job in run(fleet, "qstat", "-f")
     assert run(fleet, "qselect", "-q", "billing", "-s", "R", "-l", "mem.ge.2gb") == job
@@ -75,14 +75,14 @@
     assert "billing" in run(fleet, "qstat", "-Q") and "Active" in run(fleet, "qstat", "-B")
     run(fleet, "qmsg", "hello", job)
     held = run(fleet, "qsub", "-h", "-q", "batch", script="true\n")
-    assert state(fleet, held)["job_state"] == "H"
+    assert read_job(fleet, held)["job_state"] == "H"
     run(fleet, "qalter", "-l", "ncpus=2", "-N", "new", held)
     run(fleet, "qrls", held)
-    assert wait(fleet, held, "R")["Job_Name"] == "new"
+    assert wait_for_state(fleet, held, "R")["Job_Name"] == "new"
     run(fleet, "qsig", "-s", "TERM", held)
-    assert wait(fleet, held, "F")["Exit_status"] == 271
+    assert wait_for_state(fleet, held, "F")["Exit_status"] == 271
     run(fleet, "qdel", job)
-    assert wait(fleet, job, "F")["comment"] == "cancelled"
+    assert wait_for_state(fleet, job, "F")["comment"] == "cancelled"
     assert run(fleet, "qstat") == ""
     run(fleet, "pbsnodes", "-o", "node-01")
     assert "node-01" in run(fleet, "pbsnodes", "-l")
@@ -112,7 +112,7 @@
 
 
 def test_what_nothing_acts_on_is_refused_by_name_or_warned_of(fleet: Fleet) -> None:
-    # Guards against work that runs at once though it was to wait, or without what it asked for.
+    # Guards against a job that starts too early or without a resource because its attribute was ignored.
     refused = [
         (["-W", "depend=afterok:1"], 2, "depend=afterok:1: a job does not wait for another here yet"),
         (["-a", "203001010000"], 2, "Execution_Time: a start at a later time is not served here yet"),
@@ -140,14 +140,14 @@
     ]  # fmt: skip
     for argv in taken:
         assert re.fullmatch(r"\d+\.sched0", run(fleet, "qsub", *argv, script="true\n")), argv
-    warned = run(fleet, "qsub", "-m", "abe", "-M", "me@here", "-p", "5", script="true\n").splitlines()
-    assert re.fullmatch(r"\d+\.sched0", warned[0]) and warned[1:] == [
+    printed = run(fleet, "qsub", "-m", "abe", "-M", "me@here", "-p", "5", script="true\n").splitlines()
+    assert re.fullmatch(r"\d+\.sched0", printed[0]) and printed[1:] == [
         "qsub: warning: Mail_Points=abe: no mail is sent here",
         "qsub: warning: Priority=5: it is kept and shown; the order among jobs follows from the priority of "
         "their queue",
     ]
-    job = warned[0]
-    wait(fleet, job, "R")
+    job = printed[0]
+    wait_for_state(fleet, job, "R")
     for argv, words in (
         (["qalter", "-o", "/tmp/x", job], "is being placed or runs"),
         (["qalter", "-W", "depend=afterok:1", job], "a job does not wait"),
@@ -157,11 +157,11 @@
         got, out = fleet.command("sched0", argv)
         assert got == 2 and words in out, (argv, got, out)
     run(fleet, "qalter", "-p", "0", "-r", "n", job)
-    assert state(fleet, job)["Rerunable"] == "False"
+    assert read_job(fleet, job)["Rerunable"] == "False"
 
 
 def test_status_as_json_has_the_published_types(real: Fleet) -> None:
-    # Client libraries compare `Exit_status` with numbers: 0 done, 265 cancelled, all else failed.
+    # Client libraries compare `Exit_status` with numbers: 0 is success, 265 cancelled, all others failed.
     script = (
         "#!/bin/sh\n#PBS -l select=1:ncpus=2:mpiprocs=3:ompthreads=4:mem=64mb\n#PBS -l walltime=00:00:30\n"
     )
@@ -173,7 +173,7 @@
             script,
         )
         job = out.strip()
-        row = state(real, job)
+        row = read_job(real, job)
         assert status == code and (row["job_state"], row["Exit_status"]) == ("F", code)
         assert row["Resource_List"] == {
             "select": "1:ncpus=2:mpiprocs=3:ompthreads=4:mem=64mb", "walltime": "00:00:30",
@@ -184,12 +184,12 @@
         assert words[0] == "4" and len(words[1:-1]) == 3 and set(words[1:-1]) <= set(real.nodes)
         assert words[-1] == "0027"
     job = run(real, "qsub", "-l", "ncpus=1", script="sleep 60\n")
-    assert wait(real, job, "R")["Resource_List"] == {"ncpus": 1}
+    assert wait_for_state(real, job, "R")["Resource_List"] == {"ncpus": 1}
     run(real, "qdel", job)
-    assert wait(real, job, "F")["Exit_status"] == 265
+    assert wait_for_state(real, job, "F")["Exit_status"] == 265
     held = run(real, "qsub", "-h", script="true\n")
     run(real, "qdel", held)
-    assert wait(real, held, "F")["Exit_status"] == 265
+    assert wait_for_state(real, held, "F")["Exit_status"] == 265
 
 
 def test_a_job_blocked_on_reports_how_it_ended(real: Fleet) -> None:
@@ -209,13 +209,13 @@
 
 
 def test_a_cancelled_job_leaves_no_process_behind(real: Fleet) -> None:
-    # Also one that started a session of its own, which a signal to the job's own session does not reach.
+    # Guards against a surviving child that started its own session: a signal to the job's session misses it.
     script = "setsid sh -c 'echo $$ > left; sleep 300' &\necho $$ > main\nsleep 300\n"
     job = run(real, "qsub", script=script)
     left, main = real.folder / "left", real.folder / "main"
     assert real.run_until(lambda: left.exists() and left.read_text().strip() != "", 10 * S)
     run(real, "qdel", job)
-    wait(real, job, "F")
+    wait_for_state(real, job, "F")
     pids = [int(path.read_text()) for path in (left, main)]
 
     def alive(pid: int) -> bool:
@@ -233,24 +233,24 @@
         for queue in ("billing", "web", "billing", "mail")
     ]
     for job in jobs:
-        wait(fleet, job, "R")
+        wait_for_state(fleet, job, "R")
     fleet.kill_scheduler("sched0", 100 * MS)
     process = fleet.schedulers["sched0"].process
     assert process is not None and fleet.run_until(lambda: process.poll() is not None, 5 * S)
     assert fleet.run_until(lambda: fleet.schedulers["sched0"].process is not process, 5 * S)
     assert fleet.run_until(lambda: fleet.is_up("sched0"), 15 * S)
-    # It is up before its nodes have said what they run, and says of each job that it has taken it over.
+    # The scheduler is up before its nodes have reported their jobs; it logs `adopted` for each job.
     log = fleet.schedulers["sched0"].file.with_name("log")
     assert fleet.run_until(lambda: log.read_text().count('"event":"adopted"') == len(jobs), 15 * S)
     for job in jobs:
-        assert wait(fleet, job, "R")["placement"] == "placed"
+        assert wait_for_state(fleet, job, "R")["placement"] == "placed"
     fresh = run(fleet, "qsub", "-q", "billing", script="sleep 60\n")
     assert fresh not in jobs
     copies = [key[0] for agent in fleet.nodes.values() for key in agent.jobs]
     assert sorted(copies) == sorted(set(copies)) and set(jobs) <= set(copies)
     for job in jobs:
         run(fleet, "qdel", job)
-        wait(fleet, job, "F")
+        wait_for_state(fleet, job, "F")
     assert fleet.run_until(lambda: not any(k[0] in jobs for a in fleet.nodes.values() for k in a.jobs), 5 * S)
 
 
@@ -294,7 +294,7 @@
         assert status == wanted and words in out and "Traceback" not in out, (words, status, out)
     status, out = rollout("abort", "orders")
     assert status == 2 and "no update is under way" in out
-    # One spool folder, one daemon: a second one is told who holds it.
+    # A second daemon on the same spool folder is refused; the message names the process that holds it.
     scheduler = fleet.schedulers["sched0"]
     done = subprocess.run(module("ladderhub", "serve", str(scheduler.file)), capture_output=True, text=True)
     assert scheduler.process is not None
@@ -302,7 +302,7 @@
 
 
 def test_commands_start_without_heavy_imports() -> None:
-    # `qsub` runs by the thousand: nothing beyond the standard library's light half belongs on its path.
+    # Guards against imports of heavy modules: scripts start `qsub` by the thousand, and each start pays them.
     code = "import sys, ladderhub.commands.qsub; print(*sys.modules)"
     out = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, check=True
@@ -358,7 +358,7 @@
     for value, words in cases:
         status, out = check(value)
         assert status == 2 and words in out and "Traceback" not in out, (words, out)
-    # Started in a folder that has a `ladderhub` of its own: what is installed runs, in every process of it.
+    # The current folder contains another `ladderhub` package.  Every process must run the installed one.
     (tmp_path / "ladderhub").mkdir()
     (tmp_path / "ladderhub" / "__init__.py").write_text("raise SystemExit('the folder here was run')\n")
     argv = module("ladderhub", "demo")
--- a/tests/test_policy_command.py
+++ b/tests/test_policy_command.py
@@ -1,4 +1,4 @@
-"""`ladderhub policy` as a process of its own against schedulers: what it prints, and its exit statuses."""
+"""`ladderhub policy` as a separate process against three schedulers: its output and exit statuses."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def world(tmp_path: Path) -> Iterator[World]:
-    """Three voters, the first revision in force on each."""
+    """Three voters, each with the first revision in force."""
     made = World(tmp_path, nodes=1)
     places = [f"127.0.0.1:{free_port()}" for _ in range(3)]
     for name, place in zip(("alpha", "beta", "gamma"), places, strict=True):
@@ -38,7 +38,7 @@
 
 
 def run(world: World, *arguments: str, server: str = "") -> tuple[int, str]:
-    """One command while the loop turns; its exit status and all that it printed."""
+    """Runs one command while the loop runs; returns its exit status and output."""
     ended: list[int] = []
     out = world.folder / "out"
     environment = os.environ | {"PBS_SERVER": server or "{}:{}".format(*world.public), "LOGNAME": "ann"}
@@ -51,13 +51,13 @@
     return ended[0], out.read_text()
 
 
-def write(world: World, value: dict[str, Any]) -> str:
+def write_policy(world: World, value: dict[str, Any]) -> str:
     path = world.folder / "policy.jsonnet"
     path.write_text(json.dumps(value))
     return str(path)
 
 
-def whole(world: World, aim: str) -> dict[str, Any]:
+def make_settings(world: World, aim: str) -> dict[str, Any]:
     own = {"server": "x", "listen": "127.0.0.1:1", "directory": "127.0.0.1:2", "spool": "x"}
     value = copy.deepcopy(world.settings) | own
     value["queues"]["web"]["aim"] = aim
@@ -65,7 +65,7 @@
 
 
 def test_apply_prints_the_difference_and_the_outcome_and_ends_by_it(world: World) -> None:
-    file = write(world, whole(world, "700ms"))
+    file = write_policy(world, make_settings(world, "700ms"))
     status, text = run(world, "apply", file, "--reason", "shorter")
     assert status == 0, text
     assert "made from revision 1:\n  queue web: aim 800ms -> 700ms\n" in text
@@ -73,13 +73,13 @@
     assert "confirmed by: alpha, beta, gamma" in text
     status, text = run(world, "apply", file)
     assert status == 0 and "no difference" in text and "unchanged" in text
-    part = {key: value for key, value in whole(world, "600ms").items() if key in POLICY}
-    status, text = run(world, "apply", write(world, part), "--parent", "1", "--author", "bob")
+    part = {key: value for key, value in make_settings(world, "600ms").items() if key in POLICY}
+    status, text = run(world, "apply", write_policy(world, part), "--parent", "1", "--author", "bob")
     assert status == 4 and "made from a revision that is not in force: revision 2" in text
     part["queues"]["web"]["kind"] = "none of them"
-    status, text = run(world, "apply", write(world, part))
+    status, text = run(world, "apply", write_policy(world, part))
     assert status == 2 and "refused by gamma" in text and "queues.web.kind" in text
-    status, text = run(world, "apply", write(world, part | {"nonsense": 1}))
+    status, text = run(world, "apply", write_policy(world, part | {"nonsense": 1}))
     assert status == 1 and "nonsense" in text
 
 
@@ -98,7 +98,7 @@
 def test_without_a_majority_or_a_server_the_operator_is_told_so(world: World) -> None:
     for name in ("alpha", "beta"):
         world.daemons.pop(name).close()
-    status, text = run(world, "apply", write(world, whole(world, "700ms")))
+    status, text = run(world, "apply", write_policy(world, make_settings(world, "700ms")))
     assert status == 5 and "no majority" in text and "last confirmed" in text
     status, text = run(world, "status", server=f"127.0.0.1:{free_port()}")
     assert status == 3 and "cannot connect" in text
