--- a/ladderhub/pbs/__init__.py
+++ b/ladderhub/pbs/__init__.py
@@ -1,5 +1,5 @@
-"""The batch dialect: DIS encoding, requests and replies, job scripts and resource lists.  No I/O.
+"""The batch protocol: DIS encoding, requests and replies, job scripts and resource lists.  No I/O.
 
-Bytes in, requests or replies out.  Standard library only and light to import, since `qsub` starts from here;
-must not import any other package of ladderhub.
+Uses the standard library only and imports little, since each start of `qsub` loads it.  May import only
+`errors` of the other packages of ladderhub.
 """
--- a/ladderhub/pbs/attributes.py
+++ b/ladderhub/pbs/attributes.py
@@ -1,7 +1,8 @@
-"""Attributes of a job: which ones act here, which are kept and shown, and which are refused by name.
+"""Attributes of a job: which are supported, which are only stored and shown, and which are refused by name.
 
-Work that runs in the wrong order, or without what it asked for, is worse than work refused: what is not in
-the first two tables is never accepted.  Sources: POSIX.1-2008, 3.1 and `qsub`; attribute names of OpenPBS.
+A job that runs in the wrong order, or without what it asked for, is worse than a refused job.  Therefore an
+attribute that is not in the first two tables is never accepted.  Sources: POSIX.1-2008, 3.1 and `qsub`;
+attribute names of OpenPBS.
 """
 
 from __future__ import annotations
@@ -9,18 +10,19 @@
 from ladderhub.pbs import names as n
 from ladderhub.pbs.batch import Attr
 
-# Something in the scheduler, the owner's decisions or the node acts on each.
+# The scheduler, the owner's decisions or the node use each of these.
 ACTING = frozenset((
     "Job_Name", "Job_Owner", "Account_Name", "Error_Path", "Output_Path", "Join_Path", "Keep_Files",
     "Hold_Types", "Rerunable", "Resource_List", "Shell_Path_List", "Variable_List", "service", "umask",
 ))  # fmt: skip
-# Kept and shown; whoever asks is told by `qsub` that nothing acts on them.  Job scripts often carry them.
+# Stored and shown but without effect.  They are accepted since job scripts often contain them; `qsub` prints
+# the text as a warning.
 SHOWN = {
     "Mail_Points": "no mail is sent here",
     "Mail_Users": "no mail is sent here",
     "Priority": "it is kept and shown; the order among jobs follows from the priority of their queue",
     "group_list": "it is kept and shown; jobs run under the group of their node's agent",
-    "project": "",  # a label: to be shown is all that it is for
+    "project": "",  # a label, which is only meant to be shown
 }
 _REFUSED = {
     "depend": "a job does not wait for another here yet; submit it once that one is over",
@@ -31,17 +33,17 @@
     "interactive": "interactive jobs are not served here",
     "run_count": "it is counted here and can't be set",
 }
-# On a running job these still act, or are only shown.
+# Attributes that can be changed on a running job: they still take effect, or are only shown.
 WHILE_RUNNING = frozenset(("Rerunable", *SHOWN))
 
 
 def unserved(attr: Attr, now_s: int) -> tuple[int, str] | None:
-    """Why the attribute can't be taken, as an error code and words; None where it can.
+    """Returns the error code and text for an attribute that can't be accepted; None where it can.
 
     `now_s`: seconds since the epoch."""
     name, value = attr.name, attr.value
     if name == "Execution_Time":
-        # Its moment has come where it is not ahead: then nothing is left to act on.
+        # A time that is not in the future is accepted, since it does not delay the job.
         if not (value.isascii() and value.isdigit()):
             return n.BAD_ATTRIBUTE_VALUE, f"{name}={value}: seconds since the epoch are meant"
         if int(value) > now_s:
@@ -71,12 +73,12 @@
         return n.BAD_ATTRIBUTE_VALUE, f"{name}={value}: jobs run as the user of their node's agent"
     if name in ACTING or name in SHOWN:
         return None
-    why = _REFUSED.get(name, "unknown here")
-    return n.NO_ATTRIBUTE, f"{name}{f'={value}' if value else ''}: {why}"
+    reason = _REFUSED.get(name, "unknown here")
+    return n.NO_ATTRIBUTE, f"{name}{f'={value}' if value else ''}: {reason}"
 
 
-def split_list(text: str) -> list[str]:
-    """Parts of a `Variable_List`; a backslash keeps the comma behind it."""
+def split_variables(text: str) -> list[str]:
+    """Splits a `Variable_List` at commas; a backslash escapes the next character."""
     parts, part, escaped = [], "", False
     for char in text:
         if escaped:
@@ -92,5 +94,5 @@
 
 
 def variables_of(text: str) -> dict[str, str]:
-    """Names and values of a `Variable_List`."""
-    return dict(pair.split("=", 1) for pair in split_list(text) if "=" in pair)
+    """Parses a `Variable_List` into names and values."""
+    return dict(pair.split("=", 1) for pair in split_variables(text) if "=" in pair)
--- a/ladderhub/pbs/batch.py
+++ b/ladderhub/pbs/batch.py
@@ -1,8 +1,8 @@
-"""Batch requests and replies: what each holds, and how it goes on the wire (published PBS batch interface).
+"""Batch requests and replies: their fields and wire encoding (published PBS batch interface).
 
-`encode_request`, `encode_reply` give bytes; `RequestParser` and `ReplyParser` take bytes as they come and
-give
-whole messages.  Each parser holds at most one message that is not whole, of at most `message_most` bytes.
+`encode_request` and `encode_reply` return bytes.  `RequestParser` and `ReplyParser` take bytes as they arrive
+and return whole messages.  A `RequestParser` holds at most one incomplete message, of at most
+`max_message_bytes`.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 from ladderhub.pbs import names as n
 from ladderhub.pbs.dis import DisError, NeedMore, Reader, number, string
 
-STRING_MOST = n.SCRIPT_MOST
-MESSAGE_MOST = STRING_MOST + 256 * 1024
-ATTRIBUTES_MOST = 2000
-ROWS_MOST = 2_000_000
+MAX_STRING_BYTES = n.SCRIPT_MOST
+MAX_MESSAGE_BYTES = MAX_STRING_BYTES + 256 * 1024
+MAX_ATTRIBUTES = 2000
+MAX_ROWS = 2_000_000
 
 
 class Attr:
@@ -27,6 +27,7 @@
         self.name, self.value, self.resource, self.op = name, value, resource, op
 
     def key(self) -> str:
+        """Returns `name`, or `name.resource` where there is a resource."""
         return f"{self.name}.{self.resource}" if self.resource else self.name
 
     def __repr__(self) -> str:
@@ -34,7 +35,7 @@
 
 
 class Request:
-    """One request.  Which fields count follows from `type`; the others keep their defaults."""
+    """One request.  `type` decides which fields are used; the others keep their defaults."""
 
     __slots__ = (
         "attrs", "command", "data", "destination", "extension", "file_kind", "job", "manner", "name",
@@ -53,7 +54,7 @@
         self.status, self.manner, self.extension = status, manner, extension
 
     def get(self, key: str, default: str = "") -> str:
-        """The value of an attribute by `name` or `name.resource`."""
+        """Returns the value of an attribute by `name` or `name.resource`."""
         for attr in self.attrs:
             if attr.key() == key:
                 return attr.value
@@ -69,6 +70,7 @@
         self.object_type, self.name, self.attrs = object_type, name, attrs
 
     def get(self, key: str, default: str = "") -> str:
+        """Returns the value of an attribute by `name` or `name.resource`."""
         for attr in self.attrs:
             if attr.key() == key:
                 return attr.value
@@ -76,7 +78,7 @@
 
 
 class Reply:
-    """One reply: code 0 for success, and one of the published choices."""
+    """One reply: an error code, 0 for success, and a body of one of the published choices."""
 
     __slots__ = ("aux", "choice", "code", "job", "jobs", "rows", "text")
 
@@ -89,14 +91,14 @@
 
 
 def refusal(code: int, text: str = "") -> Reply:
-    """An error reply; the text defaults to the published words of the code."""
+    """Returns an error reply; the text defaults to the published text of the code."""
     return Reply(code, n.R_TEXT, text=text or n.ERRORS.get(code, f"Error {code}"))
 
 
 # --- attribute lists ------------------------------------------------------------------------------------
 
 
-def _put_attrs(attrs: list[Attr]) -> bytes:
+def _encode_attrs(attrs: list[Attr]) -> bytes:
     parts = [number(len(attrs))]
     for attr in attrs:
         size = len(attr.name) + len(attr.value) + 2 + (len(attr.resource) + 1 if attr.resource else 0)
@@ -107,14 +109,14 @@
     return b"".join(parts)
 
 
-def _take_attrs(reader: Reader) -> list[Attr]:
+def _read_attrs(reader: Reader) -> list[Attr]:
     attrs = []
-    for _ in range(reader.count(ATTRIBUTES_MOST)):
-        reader.unsigned()  # a size that helps C programs to allocate
-        name = reader.text()
-        resource = reader.text() if reader.count(1) else ""
-        value = reader.text()
-        attrs.append(Attr(name, value, resource, reader.count(n.OP_LT)))
+    for _ in range(reader.read_count(MAX_ATTRIBUTES)):
+        reader.read_unsigned()  # the total size, which only C clients need for allocation
+        name = reader.read_text()
+        resource = reader.read_text() if reader.read_count(1) else ""
+        value = reader.read_text()
+        attrs.append(Attr(name, value, resource, reader.read_count(n.OP_LT)))
     return attrs
 
 
@@ -127,10 +129,11 @@
 
 
 def encode_request(request: Request) -> bytes:
+    """Encodes a request with its header and extension."""
     kind = request.type
     parts = [number(n.PROTOCOL), number(n.VERSION), number(kind), string(request.user)]
     if kind == n.QUEUE_JOB:
-        parts += [string(request.job), string(request.destination), _put_attrs(request.attrs)]
+        parts += [string(request.job), string(request.destination), _encode_attrs(request.attrs)]
     elif kind == n.JOB_SCRIPT:
         parts += [number(request.sequence), number(request.file_kind), number(len(request.data))]
         parts += [string(request.job), string(request.data)]
@@ -142,63 +145,75 @@
             number(request.command),
             number(request.object_type),
             string(name),
-            _put_attrs(request.attrs),
+            _encode_attrs(request.attrs),
         ]
     elif kind == n.MESSAGE_JOB:
         parts += [string(request.job), number(request.file_kind), string(request.text)]
     elif kind == n.SELECT_JOBS:
-        parts.append(_put_attrs(request.attrs))
+        parts.append(_encode_attrs(request.attrs))
     elif kind == n.SHUTDOWN:
         parts.append(number(request.manner))
     elif kind == n.SIGNAL_JOB:
         parts += [string(request.job), string(request.text)]
     elif kind in _STATUS:
-        parts += [string(request.job or request.name), _put_attrs(request.attrs)]
+        parts += [string(request.job or request.name), _encode_attrs(request.attrs)]
     elif kind == n.JOB_OBIT:
-        parts += [string(request.job), number(request.status), _put_attrs(request.attrs)]
+        parts += [string(request.job), number(request.status), _encode_attrs(request.attrs)]
     elif kind not in _EMPTY:
         raise DisError(f"request {kind} can't be written")
     parts.append(number(1) + string(request.extension) if request.extension else number(0))
     return b"".join(parts)
 
 
-def _take_request(reader: Reader) -> Request:
-    if reader.unsigned() != n.PROTOCOL:
+def _read_request(reader: Reader) -> Request:
+    if reader.read_unsigned() != n.PROTOCOL:
         raise DisError("not the batch protocol")
-    if reader.unsigned() not in n.VERSIONS:
+    if reader.read_unsigned() not in n.VERSIONS:
         raise DisError("a version of the protocol that is not spoken here")
-    kind = reader.unsigned()
-    request = Request(kind, reader.text())
+    kind = reader.read_unsigned()
+    request = Request(kind, reader.read_text())
     if kind == n.QUEUE_JOB:
-        request.job, request.destination, request.attrs = reader.text(), reader.text(), _take_attrs(reader)
+        request.job, request.destination, request.attrs = (
+            reader.read_text(),
+            reader.read_text(),
+            _read_attrs(reader),
+        )
     elif kind == n.JOB_SCRIPT:
-        request.sequence, request.file_kind = reader.unsigned(), reader.unsigned()
-        reader.count(STRING_MOST)
-        request.job, request.data = reader.text(), reader.raw()
+        request.sequence, request.file_kind = reader.read_unsigned(), reader.read_unsigned()
+        reader.read_count(MAX_STRING_BYTES)
+        request.job, request.data = reader.read_text(), reader.read_bytes()
     elif kind in _JOB_ONLY:
-        request.job = reader.text()
+        request.job = reader.read_text()
     elif kind in _MANAGE:
-        request.command, request.object_type = reader.unsigned(), reader.unsigned()
-        request.job = request.name = reader.text()
-        request.attrs = _take_attrs(reader)
+        request.command, request.object_type = reader.read_unsigned(), reader.read_unsigned()
+        request.job = request.name = reader.read_text()
+        request.attrs = _read_attrs(reader)
     elif kind == n.MESSAGE_JOB:
-        request.job, request.file_kind, request.text = reader.text(), reader.unsigned(), reader.text()
+        request.job, request.file_kind, request.text = (
+            reader.read_text(),
+            reader.read_unsigned(),
+            reader.read_text(),
+        )
     elif kind == n.SELECT_JOBS:
-        request.attrs = _take_attrs(reader)
+        request.attrs = _read_attrs(reader)
     elif kind == n.SHUTDOWN:
-        request.manner = reader.unsigned()
+        request.manner = reader.read_unsigned()
     elif kind == n.SIGNAL_JOB:
-        request.job, request.text = reader.text(), reader.text()
+        request.job, request.text = reader.read_text(), reader.read_text()
     elif kind in _STATUS:
-        request.job = request.name = reader.text()
-        request.attrs = _take_attrs(reader)
+        request.job = request.name = reader.read_text()
+        request.attrs = _read_attrs(reader)
     elif kind == n.JOB_OBIT:
-        request.job, request.status, request.attrs = reader.text(), reader.signed(), _take_attrs(reader)
+        request.job, request.status, request.attrs = (
+            reader.read_text(),
+            reader.read_signed(),
+            _read_attrs(reader),
+        )
     elif kind not in _EMPTY:
-        # What follows an unknown request can't be told from the next one.
+        # The length of an unknown request is unknown, so the next request can't be found.
         raise DisError(f"unknown request {kind}")
-    if reader.count(1):
-        request.extension = reader.text()
+    if reader.read_count(1):
+        request.extension = reader.read_text()
     return request
 
 
@@ -206,6 +221,7 @@
 
 
 def encode_reply(reply: Reply) -> bytes:
+    """Encodes a whole reply."""
     parts = [
         number(n.PROTOCOL),
         number(n.VERSION),
@@ -221,39 +237,39 @@
     elif reply.choice == n.R_STATUS:
         parts.append(number(len(reply.rows)))
         for row in reply.rows:
-            parts += [number(row.object_type), string(row.name), _put_attrs(row.attrs)]
+            parts += [number(row.object_type), string(row.name), _encode_attrs(row.attrs)]
     elif reply.choice == n.R_TEXT:
         parts.append(string(reply.text))
     return b"".join(parts)
 
 
-def encode_rows(count: int, rows: Iterable[Row], at_once: int = 100) -> Iterator[bytes]:
-    """A status reply of `count` rows in pieces, so that a long one need not be held or made in one go."""
+def encode_rows(count: int, rows: Iterable[Row], rows_per_piece: int = 100) -> Iterator[bytes]:
+    """Encodes a status reply of `count` rows in pieces, so that a long one is never held as a whole."""
     parts = [number(n.PROTOCOL), number(n.VERSION), number(0), number(0), number(n.R_STATUS), number(count)]
-    held = 0
+    buffered_rows = 0
     for row in rows:
-        parts += [number(row.object_type), string(row.name), _put_attrs(row.attrs)]
-        held += 1
-        if held == at_once:
+        parts += [number(row.object_type), string(row.name), _encode_attrs(row.attrs)]
+        buffered_rows += 1
+        if buffered_rows == rows_per_piece:
             yield b"".join(parts)
-            parts, held = [], 0
+            parts, buffered_rows = [], 0
     yield b"".join(parts)
 
 
-def _take_reply(reader: Reader) -> tuple[Reply, int]:
-    """A reply but for the rows of a status reply, and how many of those follow."""
-    if reader.unsigned() != n.PROTOCOL or reader.unsigned() not in n.VERSIONS:
+def _read_reply(reader: Reader) -> tuple[Reply, int]:
+    """Reads a reply without the rows of a status reply; returns it and the number of rows that follow."""
+    if reader.read_unsigned() != n.PROTOCOL or reader.read_unsigned() not in n.VERSIONS:
         raise DisError("not a reply of the batch protocol")
-    reply = Reply(reader.signed(), aux=reader.signed())
-    reply.choice = reader.unsigned()
+    reply = Reply(reader.read_signed(), aux=reader.read_signed())
+    reply.choice = reader.read_unsigned()
     if reply.choice in (n.R_QUEUE, n.R_READY, n.R_COMMIT, n.R_LOCATE):
-        reply.job = reader.text()
+        reply.job = reader.read_text()
     elif reply.choice == n.R_SELECT:
-        reply.jobs = [reader.text() for _ in range(reader.count(ROWS_MOST))]
+        reply.jobs = [reader.read_text() for _ in range(reader.read_count(MAX_ROWS))]
     elif reply.choice == n.R_STATUS:
-        return reply, reader.count(ROWS_MOST)
+        return reply, reader.read_count(MAX_ROWS)
     elif reply.choice == n.R_TEXT:
-        reply.text = reader.text()
+        reply.text = reader.read_text()
     elif reply.choice != n.R_NULL:
         raise DisError(f"unknown choice {reply.choice} in a reply")
     return reply, 0
@@ -263,66 +279,66 @@
 
 
 class RequestParser:
-    """Bytes in, requests out.  Holds at most one message that is not whole.  Final after a `DisError`."""
+    """Parses requests from a byte stream.  Can't be used any more after a `DisError`."""
 
-    def __init__(self, message_most: int = MESSAGE_MOST) -> None:
+    def __init__(self, max_message_bytes: int = MAX_MESSAGE_BYTES) -> None:
         self._buffer = bytearray()
-        self._need = 1
-        self._most = message_most
+        self._bytes_needed = 1
+        self._max_message_bytes = max_message_bytes
 
     def feed(self, data: bytes) -> None:
         self._buffer += data
 
     def pending(self) -> int:
-        """Bytes that wait for the rest of their message."""
+        """Returns the number of bytes of incomplete messages and of those not taken yet."""
         return len(self._buffer)
 
     def next(self) -> Request | None:
-        """The next whole request, or None until more bytes come; `DisError` where there can be none."""
-        # `_need` keeps a message that comes in many pieces from being read anew for each.
-        if len(self._buffer) < self._need:
+        """Returns the next whole request, or None until more bytes arrive; `DisError` for invalid bytes."""
+        # `_bytes_needed` avoids parsing an incomplete message again for each piece that arrives.
+        if len(self._buffer) < self._bytes_needed:
             return None
-        reader = Reader(self._buffer, STRING_MOST)
+        reader = Reader(self._buffer, MAX_STRING_BYTES)
         try:
-            request = _take_request(reader)
+            request = _read_request(reader)
         except NeedMore as more:
-            if more.total > self._most:
-                raise DisError(f"a message of more than {self._most} bytes") from None
-            self._need = more.total
+            if more.total > self._max_message_bytes:
+                raise DisError(f"a message of more than {self._max_message_bytes} bytes") from None
+            self._bytes_needed = more.total
             return None
-        del self._buffer[: reader.at]
-        self._need = 1
+        del self._buffer[: reader.position]
+        self._bytes_needed = 1
         return request
 
 
 class ReplyParser:
-    """Bytes in, replies out.  The rows of a long status reply are taken as they come."""
+    """Parses replies from a byte stream.  The rows of a status reply are parsed as they arrive."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
-        self._at = 0
-        self._open: tuple[Reply, int] | None = None  # a status reply and the rows it still lacks
+        self._position = 0
+        self._partial_reply: tuple[Reply, int] | None = None  # a status reply and its missing rows
 
     def feed(self, data: bytes) -> None:
         self._buffer += data
 
     def next(self) -> Reply | None:
-        """The next whole reply, or None until more bytes come; `DisError` where there can be none."""
-        reader = Reader(self._buffer, STRING_MOST)
+        """Returns the next whole reply, or None until more bytes arrive; `DisError` for invalid bytes."""
+        reader = Reader(self._buffer, MAX_STRING_BYTES)
         try:
-            if self._open is None:
-                self._open = _take_reply(reader)
-                self._at = reader.at
-            reply, missing = self._open
-            reader.at = self._at
+            if self._partial_reply is None:
+                self._partial_reply = _read_reply(reader)
+                self._position = reader.position
+            reply, missing = self._partial_reply
+            reader.position = self._position
             while missing:
-                reply.rows.append(Row(reader.unsigned(), reader.text(), _take_attrs(reader)))
+                reply.rows.append(Row(reader.read_unsigned(), reader.read_text(), _read_attrs(reader)))
                 missing -= 1
-                self._open, self._at = (reply, missing), reader.at
+                self._partial_reply, self._position = (reply, missing), reader.position
         except NeedMore:
-            del self._buffer[: self._at]
-            self._at = 0
+            del self._buffer[: self._position]
+            self._position = 0
             return None
-        del self._buffer[: self._at]
-        self._open, self._at = None, 0
+        del self._buffer[: self._position]
+        self._partial_reply, self._position = None, 0
         return reply
--- a/ladderhub/pbs/connection.py
+++ b/ladderhub/pbs/connection.py
@@ -1,7 +1,7 @@
-"""What a client may ask on one connection, in what order: one table, no I/O (as h11 does for HTTP).
+"""The order in which a client may send requests on one connection: a state machine without I/O, as h11.
 
 A job is submitted over one connection as Queue Job, any number of Job Script, optionally Ready to Commit, and
-Commit.  `TRANSITIONS` holds every step.  A submission that is not committed is gone with its connection.
+Commit.  `TRANSITIONS` lists every valid step.  An uncommitted submission is lost with its connection.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
     "closed",
 )
 
-# (state of the connection's submission, request) -> state after the request was granted
+# (state of the connection's submission, request) -> state after the request succeeded
 TRANSITIONS = {
     (IDLE, n.QUEUE_JOB): QUEUED,
     (COMMITTED, n.QUEUE_JOB): QUEUED,
@@ -33,14 +33,14 @@
     (QUEUED, n.COMMIT): COMMITTED,
     (SCRIPTED, n.COMMIT): COMMITTED,
     (READY, n.COMMIT): COMMITTED,
-    (COMMITTED, n.COMMIT): COMMITTED,  # repeated: a client that missed the reply; it means the same job
-    (IDLE, n.COMMIT): IDLE,  # the same over a new connection: told by the job's identifier
+    (COMMITTED, n.COMMIT): COMMITTED,  # repeated by a client that missed the reply; names the same job
+    (IDLE, n.COMMIT): IDLE,  # repeated over a new connection; the identifier names the job
 }
 SUBMITTING = frozenset((n.QUEUE_JOB, n.JOB_SCRIPT, n.READY_TO_COMMIT, n.COMMIT))
 
 
 class Draft:
-    """A job that is being submitted."""
+    """A job whose submission is not committed yet."""
 
     __slots__ = ("job", "request", "script")
 
@@ -49,7 +49,7 @@
 
 
 class Exchange:
-    """One request and, later, its reply.  After the reply of a `last` one the connection is closed."""
+    """A request and, later, its reply.  After the reply of a `last` exchange the connection is closed."""
 
     __slots__ = ("last", "reply", "request")
 
@@ -60,54 +60,55 @@
 
 
 class ServerConnection:
-    """The serving end: `receive` gives requests, `answer` the exchanges whose replies may leave now, in order
-    of asking.
+    """The server's side.  `receive` returns requests; `answer` returns the exchanges whose replies can be
+    sent now, in the order of the requests.
 
-    Every request gets its answer, whatever comes behind it: Disconnect, and the error reply to bytes that are
-    no protocol (`trouble` says why), are exchanges in the same line, `last` ones."""
+    Every request gets its answer, whatever follows it: Disconnect and the error reply to invalid bytes
+    (`trouble` holds the reason) are exchanges in the same queue, marked `last`."""
 
     def __init__(self) -> None:
         self._parser = RequestParser()
-        self._open: deque[Exchange] = deque()
+        self._exchanges: deque[Exchange] = deque()
         self.state = IDLE
         self.draft: Draft | None = None
         self.trouble: str | None = None
 
     def receive(self, data: bytes) -> list[Exchange]:
+        """Returns an exchange for each request that is complete with these bytes."""
         if self.trouble is not None or self.state == CLOSED:
             return []
         self._parser.feed(data)
-        fresh = []
+        received = []
         try:
             while (request := self._parser.next()) is not None:
-                fresh.append(Exchange(request))
+                received.append(Exchange(request))
         except DisError as fault:
             self.trouble = str(fault)
-        self._open.extend(fresh)
+        self._exchanges.extend(received)
         if self.trouble is not None:
-            farewell = Exchange(Request(n.DISCONNECT))
-            farewell.reply = encode_reply(
+            error_exchange = Exchange(Request(n.DISCONNECT))
+            error_exchange.reply = encode_reply(
                 Reply(n.PROTOCOL_ERROR, n.R_TEXT, text=f"Protocol error: {self.trouble}")
             )
-            farewell.last = True
-            self._open.append(farewell)
-        return fresh
+            error_exchange.last = True
+            self._exchanges.append(error_exchange)
+        return received
 
     def waiting(self) -> int:
-        """Requests without an answer."""
-        return len(self._open)
+        """Returns the number of exchanges whose replies were not taken yet."""
+        return len(self._exchanges)
 
     def may(self, request: Request) -> bool:
-        """Whether the request has its place now; all but a submission's steps always have."""
+        """Whether the request is valid in this state.  Only the steps of a submission depend on it."""
         if request.type not in SUBMITTING:
             return True
         if (self.state, request.type) not in TRANSITIONS:
             return False
-        others = self.draft is not None and request.type != n.QUEUE_JOB and request.job != self.draft.job
-        return not (others and self.state != COMMITTED)
+        other_job = self.draft is not None and request.type != n.QUEUE_JOB and request.job != self.draft.job
+        return not (other_job and self.state != COMMITTED)
 
     def granted(self, request: Request) -> None:
-        """The request was carried out with success."""
+        """Records that the request succeeded and moves the submission to its next state."""
         if request.type in SUBMITTING:
             self.state = TRANSITIONS[self.state, request.type]
             if self.state in (IDLE, COMMITTED):
@@ -116,26 +117,26 @@
             self.state, self.draft = CLOSED, None
 
     def drop_draft(self) -> None:
-        """The submission can't be completed: what of it is still on the way has no place any more."""
+        """Ends a submission that can't be completed; its later requests become invalid."""
         self.state, self.draft = IDLE, None
 
     def answer(self, exchange: Exchange, reply: Reply | Iterator[bytes]) -> list[Exchange]:
-        """Answer one request, by a reply or by the pieces of one that is long; gives the exchanges whose
-        replies may leave now, in order.  One answer each."""
+        """Answers one request, by a reply or by the pieces of a long one, and returns the exchanges whose
+        replies can be sent now, in order.  Each request is answered once."""
         if exchange.reply is not None:
             raise RuntimeError(f"{n.REQUESTS[exchange.request.type]} is answered already")
         exchange.reply = encode_reply(reply) if isinstance(reply, Reply) else reply
         return self.ready()
 
     def disconnect(self, exchange: Exchange) -> list[Exchange]:
-        """Disconnect has no reply; the connection ends once what was asked before it is answered."""
+        """Handles Disconnect, which has no reply; the connection ends once earlier requests are answered."""
         self.granted(exchange.request)
         exchange.reply, exchange.last = b"", True
         return self.ready()
 
     def ready(self) -> list[Exchange]:
-        """The exchanges whose replies may leave now; after trouble, ask for them once."""
+        """Takes the exchanges whose replies can be sent now.  Must be called once after invalid bytes."""
         ready = []
-        while self._open and self._open[0].reply is not None:
-            ready.append(self._open.popleft())
+        while self._exchanges and self._exchanges[0].reply is not None:
+            ready.append(self._exchanges.popleft())
         return ready
--- a/ladderhub/pbs/dates.py
+++ b/ladderhub/pbs/dates.py
@@ -4,17 +4,17 @@
 
 import time
 
-MEANT = "[[[[CC]YY]MM]DD]hhmm[.SS] is meant"
+EXPECTED = "[[[[CC]YY]MM]DD]hhmm[.SS] is meant"
 
 
 def parse_date(text: str, now_s: int) -> int:
-    """Seconds since the epoch of a moment in the local zone; ValueError says what was meant.
+    """Returns a local date as seconds since the epoch; `ValueError` names the valid form.
 
-    What is left out is taken from `now_s`, and where that would be past, from the next day, month or year."""
+    Missing fields come from `now_s`; where that date would be past, the next day, month or year is taken."""
     digits, dot, seconds = text.partition(".")
-    good = digits.isascii() and digits.isdigit() and len(digits) in (4, 6, 8, 10, 12)
-    if not good or (dot and not (seconds.isascii() and seconds.isdigit() and len(seconds) == 2)):
-        raise ValueError(f"{text}: {MEANT}")
+    is_valid = digits.isascii() and digits.isdigit() and len(digits) in (4, 6, 8, 10, 12)
+    if not is_valid or (dot and not (seconds.isascii() and seconds.isdigit() and len(seconds) == 2)):
+        raise ValueError(f"{text}: {EXPECTED}")
     now = time.localtime(now_s)
     hour, minute = int(digits[-4:-2]), int(digits[-2:])
     day = int(digits[-6:-4]) if len(digits) >= 6 else now.tm_mday
@@ -26,18 +26,18 @@
         year = int(digits[:2]) + (1900 if int(digits[:2]) >= 69 else 2000)
     second = int(seconds) if dot else 0
     if not (1 <= month <= 12 and 1 <= day <= 31 and hour < 24 and minute < 60 and second < 62):
-        raise ValueError(f"{text}: no such moment; {MEANT}")
+        raise ValueError(f"{text}: no such moment; {EXPECTED}")
 
-    def moment(year: int, month: int, day: int) -> int:
+    def to_epoch(year: int, month: int, day: int) -> int:
         try:
             return int(time.mktime((year, month, day, hour, minute, second, 0, 0, -1)))
         except OverflowError:
-            raise ValueError(f"{text}: no such moment; {MEANT}") from None
+            raise ValueError(f"{text}: no such moment; {EXPECTED}") from None
 
-    found = moment(year, month, day)
+    found = to_epoch(year, month, day)
     if len(digits) >= 8 and time.localtime(found).tm_mon != month:
-        raise ValueError(f"{text}: no such day; {MEANT}")
+        raise ValueError(f"{text}: no such day; {EXPECTED}")
     if found < now_s and len(digits) < 10:
-        step = {4: (year, month, day + 1), 6: (year, month + 1, day), 8: (year + 1, month, day)}
-        found = moment(*step[len(digits)])
+        next_date = {4: (year, month, day + 1), 6: (year, month + 1, day), 8: (year + 1, month, day)}
+        found = to_epoch(*next_date[len(digits)])
     return found
--- a/ladderhub/pbs/dis.py
+++ b/ladderhub/pbs/dis.py
@@ -1,9 +1,8 @@
-"""DIS, "data is strings": numbers and counted strings as the batch interface writes them.
+"""DIS ("data is strings"): the encoding of numbers and counted strings in the batch interface.
 
-A number is its digits behind a sign; a number of n > 1 digits is preceded by n, itself written so, until a
-count of one digit comes first: 7 is `+7`, 42 is `2+42`, ten digits begin `210+`.  A string is its length as
-an
-unsigned number and then its bytes.
+A number is a sign and its digits.  A number of n > 1 digits is preceded by n, encoded the same way, until a
+count of one digit comes first: 7 is `+7`, 42 is `2+42`, a number of ten digits begins `210+`.  A string is
+its length as an unsigned number, followed by its bytes.
 """
 
 from __future__ import annotations
@@ -11,22 +10,23 @@
 from ladderhub.errors import LadderhubError
 from ladderhub.pbs import names
 
-DIGITS_MOST = 19  # numbers of 64 bits
+MAX_DIGITS = 19  # numbers of 64 bits
 
 
-_SMALL = [b"+%d" % digit for digit in range(10)]
+_ONE_DIGIT_NUMBERS = [b"+%d" % digit for digit in range(10)]
 
 
 class DisError(LadderhubError):
-    """The bytes are no DIS, or announce more than is allowed."""
+    """The bytes are not valid DIS, or announce more than is allowed."""
 
     status, code = 3, names.PROTOCOL_ERROR
     remedy = "look what speaks at that address: it is no peer of the batch protocol, or its bytes are spoilt"
 
 
 class NeedMore(EOFError):
-    """No error but a step of reading: the buffer ends inside a value; at least `total` bytes from its start
-    are needed."""
+    """The buffer ends inside a value; at least `total` bytes from its start are needed.
+
+    This is no error: the caller reads again once more bytes have arrived."""
 
     def __init__(self, total: int) -> None:
         super().__init__(total)
@@ -34,11 +34,11 @@
 
 
 def number(value: int) -> bytes:
-    """One signed or unsigned number."""
+    """Encodes a signed or unsigned number."""
     if 0 <= value < 10:
-        return _SMALL[value]
+        return _ONE_DIGIT_NUMBERS[value]
     digits = str(abs(value))
-    if len(digits) > DIGITS_MOST:
+    if len(digits) > MAX_DIGITS:
         raise DisError(f"a number of {len(digits)} digits can't be sent")
     text = ("-" if value < 0 else "+") + digits
     count = len(digits)
@@ -49,76 +49,82 @@
 
 
 def string(value: str | bytes) -> bytes:
-    """One counted string; text goes as UTF-8, bytes that were no UTF-8 go back as they came."""
+    """Encodes a counted string as UTF-8; bytes that were decoded from invalid UTF-8 are restored."""
     data = value.encode("utf-8", "surrogateescape") if isinstance(value, str) else value
     return number(len(data)) + data
 
 
 class Reader:
-    """Takes values from the front of a buffer.  Raises `NeedMore` at its end and `DisError` at nonsense."""
+    """Reads values from a buffer.  Raises `NeedMore` at its end, `DisError` at invalid bytes."""
 
-    __slots__ = ("_data", "_most", "at")
+    __slots__ = ("_data", "_max_string_bytes", "position")
 
-    def __init__(self, data: bytes | bytearray, string_most: int) -> None:
-        self._data, self._most, self.at = data, string_most, 0
+    def __init__(self, data: bytes | bytearray, max_string_bytes: int) -> None:
+        self._data, self._max_string_bytes, self.position = data, max_string_bytes, 0
 
-    def signed(self) -> int:
+    def read_signed(self) -> int:
+        """Reads a number."""
         data, count = self._data, 1
-        # Nearly all numbers have one digit, or two that say their count first.
-        if data[self.at : self.at + 1] == b"+" and self.at + 1 < len(data):
-            digit = data[self.at + 1] - 0x30
+        # Fast path for one digit: nearly all numbers have one or two digits.
+        if data[self.position : self.position + 1] == b"+" and self.position + 1 < len(data):
+            digit = data[self.position + 1] - 0x30
             if 0 <= digit <= 9:
-                self.at += 2
+                self.position += 2
                 return digit
         while True:
-            if self.at >= len(data):
-                raise NeedMore(self.at + 1)
-            lead = data[self.at]
+            if self.position >= len(data):
+                raise NeedMore(self.position + 1)
+            lead = data[self.position]
             if lead in b"+-":
-                self.at += 1
-                digits = self._digits(count)
+                self.position += 1
+                digits = self._read_digits(count)
                 return -digits if lead == 0x2D else digits
             if not 0x31 <= lead <= 0x39:
                 raise DisError(f"byte {lead:#04x} where a number should begin")
-            count = self._digits(count)
-            if not 1 < count <= DIGITS_MOST:
+            count = self._read_digits(count)
+            if not 1 < count <= MAX_DIGITS:
                 raise DisError("a number announces more digits than can be")
 
-    def _digits(self, count: int) -> int:
-        end = self.at + count
-        text = bytes(self._data[self.at : end])
+    def _read_digits(self, count: int) -> int:
+        end = self.position + count
+        text = bytes(self._data[self.position : end])
         if not text.isdigit() and text:
             raise DisError("a number holds what is no digit")
         if len(text) < count:
             raise NeedMore(end)
         if count > 1 and text[0] == 0x30:
             raise DisError("a number begins with a zero")
-        self.at = end
+        self.position = end
         return int(text)
 
-    def unsigned(self) -> int:
-        value = self.signed()
+    def read_unsigned(self) -> int:
+        """Reads a number that can't be negative."""
+        value = self.read_signed()
         if value < 0:
             raise DisError("a negative number where none can be")
         return value
 
-    def count(self, most: int) -> int:
-        """A number of things to follow."""
-        value = self.unsigned()
-        if value > most:
-            raise DisError(f"{value} things announced where at most {most} can be")
+    def read_count(self, limit: int) -> int:
+        """Reads a number from 0 to `limit`, such as the count of the items that follow."""
+        value = self.read_unsigned()
+        if value > limit:
+            raise DisError(f"{value} things announced where at most {limit} can be")
         return value
 
-    def raw(self) -> bytes:
-        size = self.unsigned()
-        if size > self._most:
-            raise DisError(f"a string of {size} bytes announced where at most {self._most} can be")
-        end = self.at + size
+    def read_bytes(self) -> bytes:
+        """Reads a counted string as bytes."""
+        size = self.read_unsigned()
+        if size > self._max_string_bytes:
+            raise DisError(
+                f"a string of {size} bytes announced where at most {self._max_string_bytes} can be"
+            )
+        end = self.position + size
         if end > len(self._data):
             raise NeedMore(end)
-        data = bytes(self._data[self.at : end])
-        self.at = end
+        data = bytes(self._data[self.position : end])
+        self.position = end
         return data
 
-    def text(self) -> str:
-        return self.raw().decode("utf-8", "surrogateescape")
+    def read_text(self) -> str:
+        """Reads a counted string as text; invalid UTF-8 is kept by surrogate escapes."""
+        return self.read_bytes().decode("utf-8", "surrogateescape")
--- a/ladderhub/pbs/names.py
+++ b/ladderhub/pbs/names.py
@@ -1,10 +1,9 @@
-"""Every number and name of the batch interface, in one table each.
+"""Numbers and names of the batch interface, in one table for each kind.
 
 Sources: POSIX.1-2008, Shell and Utilities, chapter 3 (batch environment services: states, attributes, exit
 status), and the published PBS batch interface (`libpbs.h`, `pbs_ifl.h`, `pbs_error.h` of OpenPBS).  No copy
-of
-those headers was at hand: the numbers below were written from knowledge of them and **not checked against a
-source**, the rows under UNSURE least of all.
+of these headers was available: the numbers below were written from memory and **not checked against a
+source**; those in UNSURE are the least certain.
 """
 
 from __future__ import annotations
@@ -31,9 +30,9 @@
 # --- Manager commands, objects, attribute operators (pbs_ifl.h) -------------------------------------------
 CMD_CREATE, CMD_DELETE, CMD_SET, CMD_UNSET, CMD_LIST = 0, 1, 2, 3, 4
 OBJ_SERVER, OBJ_QUEUE, OBJ_JOB, OBJ_NODE = 0, 1, 2, 3
-NODE_USER = "node@"  # before a node's name: the user of requests that nodes send
-OBJ_SERVICE = 50  # not published: sets of copies, beside the objects that Manager knows
-OBJ_POLICY = 51  # not published either: the configuration of the fleet
+NODE_USER = "node@"  # nodes send requests as this prefix and their name
+OBJ_SERVICE = 50  # not published; an extension for services (sets of copies)
+OBJ_POLICY = 51  # not published; an extension for the configuration of the fleet
 OP_SET, OP_UNSET, OP_INCR, OP_DECR, OP_EQ, OP_NE, OP_GE, OP_GT, OP_LE, OP_LT = range(10)
 OPERATORS = {"eq": OP_EQ, "ne": OP_NE, "ge": OP_GE, "gt": OP_GT, "le": OP_LE, "lt": OP_LT}
 MSG_OUT, MSG_ERR = 1, 2
@@ -46,7 +45,7 @@
 UNKNOWN_RESOURCE, BAD_RESOURCE_VALUE, EXCEEDS_QUEUE = 15035, 15036, 15036
 NO_SERVER, NODE_REJECTED, NODE_DOWN = 15034, 15061, 15062
 UNKNOWN_NODE, BAD_SCRIPT, SERVER_BUSY = 15062, 15031, 15090
-# UNSURE: rows whose number is the least certain; peers of ours agree on them all the same.
+# Codes whose published number is uncertain.  Clients and servers of ladderhub agree on them.
 UNSURE = ("NODE_REJECTED", "NODE_DOWN", "UNKNOWN_NODE", "BAD_SCRIPT", "SERVER_BUSY", "NO_SERVER")
 ERRORS = {
     UNKNOWN_JOB: "Unknown Job Id", NO_ATTRIBUTE: "Undefined Attribute", READ_ONLY: "Read only attribute",
@@ -62,9 +61,9 @@
     BAD_SCRIPT: "Job script is missing or too long", SERVER_BUSY: "Server is too busy",
 }  # fmt: skip
 
-# Why a node refused: the code that stands first in the text of its reply, "CODE words".
+# Why a node refused an offer.  The text of its reply begins with the code: "CODE text".
 REFUSALS = {"CORES": 1, "MEMORY": 2, "LINE_FULL": 3, "NOT_HERE": 4}
-# How an attempt ended, `exit_reason` in a node's obituary; PBS keeps such ends as negative exit statuses.
+# How an attempt ended: `exit_reason` in a node's Job Obit.  PBS has negative exit statuses for such ends.
 END_DONE, END_EVICTED, END_DISPLACED, END_SENT_AWAY, END_KILLED = (
     "done",
     "evicted",
@@ -72,7 +71,7 @@
     "sent_away",
     "killed",
 )
-JOB_EXEC_RETRY, JOB_EXEC_KILLED_WALLTIME = -3, -29  # UNSURE
+JOB_EXEC_RETRY, JOB_EXEC_KILLED_WALLTIME = -3, -29  # the published numbers are uncertain
 
 # --- job states (POSIX 3.2.2.1: E exiting, H held, Q queued, R running, T transiting, W waiting; F: OpenPBS)
 STATES = "EHQRTWF"
--- a/ladderhub/pbs/resources.py
+++ b/ladderhub/pbs/resources.py
@@ -1,8 +1,7 @@
-"""Resource lists: `-l` as people type it, sizes and times as published, and back.
+"""Resource lists: parses `-l` values, sizes and times in the published forms, and formats sizes.
 
-Sizes are bytes or words (`b` or `w`, 8 bytes) with `k`, `m`, `g`, `t`, `p` as powers of 1024 (POSIX `qsub
--l`);
-times are seconds or `[[HH:]MM:]SS`.
+Sizes are bytes (`b`) or words of 8 bytes (`w`) with `k`, `m`, `g`, `t`, `p` as powers of 1024 (POSIX
+`qsub -l`).  Times are seconds or `[[HH:]MM:]SS`.
 """
 
 from __future__ import annotations
@@ -11,23 +10,23 @@
 from ladderhub.pbs import names
 
 _POWERS = {"": 0, "k": 1, "m": 2, "g": 3, "t": 4, "p": 5}
-WORD = 8
+WORD_BYTES = 8
 GIB = 1 << 30
 
 
 class ResourceError(LadderhubError):
-    """A resource that can't be read: which, what was found, what was meant."""
+    """An invalid resource: its name, the value found and the valid values."""
 
     status, code = 1, names.BAD_RESOURCE_VALUE
     remedy = "ask for the resource as the message says it is meant; docs/operators.md has those that act"
 
 
 def parse_size(text: str, name: str = "size") -> int:
-    """Bytes of `512`, `2gb`, `4mw`."""
+    """Parses a size such as `512`, `2gb` or `4mw` into bytes."""
     body = text.strip().lower()
     unit = 1
     if body.endswith("w"):
-        unit, body = WORD, body[:-1]
+        unit, body = WORD_BYTES, body[:-1]
     elif body.endswith("b"):
         body = body[:-1]
     power = 0
@@ -41,18 +40,18 @@
 
 
 def format_size(size: int) -> str:
-    """Bytes as the batch interface shows them."""
-    for word, power in (("tb", 4), ("gb", 3), ("mb", 2), ("kb", 1)):
+    """Formats bytes as the batch interface shows sizes."""
+    for suffix, power in (("tb", 4), ("gb", 3), ("mb", 2), ("kb", 1)):
         if size and size % 1024**power == 0:
-            return f"{size // 1024**power}{word}"
+            return f"{size // 1024**power}{suffix}"
     return f"{size}b"
 
 
 def parse_time(text: str, name: str = "walltime") -> int:
-    """Seconds of `90`, `1:30` or `00:01:30`."""
+    """Parses a time such as `90`, `1:30` or `00:01:30` into seconds."""
     parts = text.strip().split(":")
-    good = len(parts) <= 3 and all(part.isascii() and part.isdigit() and len(part) < 12 for part in parts)
-    if not good or any(int(part) > 59 for part in parts[1:]):
+    is_valid = len(parts) <= 3 and all(part.isascii() and part.isdigit() and len(part) < 12 for part in parts)
+    if not is_valid or any(int(part) > 59 for part in parts[1:]):
         raise ResourceError(f"{name}={text}: not a time; seconds or [[HH:]MM:]SS is meant")
     seconds = 0
     for part in parts:
@@ -61,7 +60,7 @@
 
 
 def parse_cpus(text: str, name: str = "ncpus") -> float:
-    """Cores above 0: whole, or a fraction for small services."""
+    """Parses a number of cores above 0; it may be a fraction, for small services."""
     try:
         cores = float(text)
     except ValueError:
@@ -72,7 +71,7 @@
 
 
 def parse_list(text: str) -> list[tuple[str, str]]:
-    """`-l a=1,b=2`: names and values in order; commas inside quotes belong to the value."""
+    """Parses `a=1,b=2` into names and values in order; commas inside quotes belong to the value."""
     items: list[tuple[str, str]] = []
     quote, start = "", 0
     pieces = []
@@ -98,7 +97,7 @@
 
 
 class Wanted:
-    """What a job asks of its node.  `cores` None and `memory` 0: none were named; `walltime_s` 0: no end."""
+    """The resources a job asks for.  `cores` None and `memory` 0: not given; `walltime_s` 0: no limit."""
 
     __slots__ = ("cores", "memory", "mpiprocs", "ompthreads", "walltime_s")
 
@@ -107,14 +106,14 @@
         self.memory = self.walltime_s = self.mpiprocs = self.ompthreads = 0
 
 
-def _processes(text: str, name: str) -> int:
+def _parse_process_count(text: str, name: str) -> int:
     if not (text.isascii() and text.isdigit()) or not 0 < int(text) < 100_000:
         raise ResourceError(f"{name}={text}: a whole number above 0 is meant")
     return int(text)
 
 
-def _place(value: str) -> None:
-    """`place` of one chunk: every arrangement puts it on one node, and nodes are shared."""
+def _check_place(value: str) -> None:
+    """Checks `place`.  With one chunk every arrangement means one node, and nodes are shared."""
     for word in value.split(":"):
         if word in ("excl", "exclhost") or word.startswith("group="):
             raise ResourceError(f"place={value}: {word} is not served here; nodes are shared")
@@ -122,8 +121,8 @@
             raise ResourceError(f"place={value}: {word}: free, pack, scatter, vscatter or shared is meant")
 
 
-def _chunk(name: str, value: str, found: Wanted) -> None:
-    """`select=[1:]ncpus=C:mem=M:...` or `nodes=1:ppn=P`: one chunk on one node."""
+def _parse_chunk(name: str, value: str, found: Wanted) -> None:
+    """Parses `select=[1:]ncpus=C:mem=M:...` or `nodes=1:ppn=P`, one chunk on one node, into `found`."""
     if "+" in value:
         raise ResourceError(f"{name}={value}: several chunks; one chunk is meant, as {name}=1:...")
     parts = value.split(":")
@@ -140,9 +139,9 @@
         elif key == "mem":
             found.memory = parse_size(amount, key)
         elif key == "mpiprocs" and name == "select":
-            found.mpiprocs = _processes(amount, key)
+            found.mpiprocs = _parse_process_count(amount, key)
         elif key == "ompthreads" and name == "select":
-            found.ompthreads = _processes(amount, key)
+            found.ompthreads = _parse_process_count(amount, key)
         elif not amount and name == "nodes":
             raise ResourceError(f"{name}={value}: node properties are not known here")
         else:
@@ -151,16 +150,16 @@
 
 
 def wanted(resources: dict[str, str]) -> Wanted:
-    """What a job's `Resource_List` asks for; `ResourceError` names what nothing here would act on.
+    """Parses a job's `Resource_List`; `ResourceError` names a resource that would have no effect.
 
-    A task here runs on one machine, so one chunk can be asked for."""
+    A task runs on one machine, so only one chunk is valid."""
     found = Wanted()
     chunk = next((name for name in ("select", "nodes") if name in resources), "")
     for name, value in resources.items():
         if name in ("select", "nodes"):
             if name != chunk:
                 raise ResourceError(f"{name}={value}: stands beside {chunk}; one of the two is meant")
-            _chunk(name, value, found)
+            _parse_chunk(name, value, found)
         elif chunk and name in ("ncpus", "mem"):
             raise ResourceError(f"{name}={value}: stands beside {chunk}; it is meant to be part of its chunk")
         elif name == "ncpus":
@@ -170,13 +169,13 @@
         elif name == "walltime":
             found.walltime_s = parse_time(value, name)
         elif name == "mpiprocs":
-            found.mpiprocs = _processes(value, name)
+            found.mpiprocs = _parse_process_count(value, name)
         elif name == "ompthreads":
-            found.ompthreads = _processes(value, name)
+            found.ompthreads = _parse_process_count(value, name)
         elif name == "place":
-            _place(value)
+            _check_place(value)
         elif name != "service":
-            unkept = "can't be kept" if name in ("cput", "pcput", "nice", "file", "arch") else "unknown"
+            reason = "can't be kept" if name in ("cput", "pcput", "nice", "file", "arch") else "unknown"
             known = "ncpus, mem, walltime, select, nodes, place, ompthreads, service"
-            raise ResourceError(f"{name}: {unkept} here; {known} are known")
+            raise ResourceError(f"{name}: {reason} here; {known} are known")
     return found
--- a/tests/test_dialect.py
+++ b/tests/test_dialect.py
@@ -1,4 +1,4 @@
-"""The batch dialect without sockets: DIS, messages in pieces, submission steps, job scripts, resources."""
+"""The batch protocol without sockets: DIS, messages in pieces, submission steps, job scripts, resources."""
 
 from __future__ import annotations
 
@@ -40,19 +40,19 @@
 def test_dis_round_trip_and_every_cut_asks_for_more(value: int, data: bytes) -> None:
     whole = number(value) + string(data)
     reader = Reader(whole, 1000)
-    assert (reader.signed(), reader.raw()) == (value, data)
+    assert (reader.read_signed(), reader.read_bytes()) == (value, data)
     for cut in range(len(whole)):
         reader = Reader(whole[:cut], 1000)
         with pytest.raises(NeedMore) as more:
-            reader.signed()
-            reader.raw()
+            reader.read_signed()
+            reader.read_bytes()
         assert cut < more.value.total <= len(whole)
 
 
 @pytest.mark.parametrize("data", [b"x", b"0+1", b"1+5", b"2+0", b"2+01", b"+x", b"99+1", b"-5"])
 def test_what_is_no_number_is_told_at_once(data: bytes) -> None:
     with pytest.raises(DisError):
-        Reader(data + b"+" * 30, 10).unsigned()
+        Reader(data + b"+" * 30, 10).read_unsigned()
 
 
 @settings(max_examples=60)
@@ -113,8 +113,7 @@
         connection.answer(first, Reply())
 
 
-# --- job scripts
-# ----------------------------------------------------------------------------------------------
+# --- job scripts ----------------------------------------------------------------------------------------
 
 
 def test_directives_stand_before_the_first_command() -> None:
@@ -169,7 +168,7 @@
     assert read("ncpus=2,mem=4gb,walltime=1:00:00") == (2.0, 4 << 30, 3600, 0, 0)
     assert read("select=1:ncpus=3:mem=1gb") == (3.0, 1 << 30, 0, 0, 0)
     assert read("nodes=1:ppn=4") == (4.0, 0, 0, 4, 0)
-    # As client libraries write them; one chunk lies on one node, however it is arranged.
+    # Forms that client libraries write; any `place` puts one chunk on one node.
     assert read("select=1:ncpus=1:mpiprocs=1,place=scatter:shared") == (1.0, 0, 0, 1, 0)
     assert read("select=ncpus=8:ompthreads=4:mpiprocs=2,place=pack") == (8.0, 0, 0, 2, 4)
     assert read("service=x,place=free") == (None, 0, 0, 0, 0)
