--- a/ladderhub/commands/jobattrs.py
+++ b/ladderhub/commands/jobattrs.py
@@ -4,7 +4,7 @@
 
 import time
 
-from ladderhub.pbs.attributes import SHOWN
+from ladderhub.pbs.attributes import STORED_ONLY
 from ladderhub.pbs.batch import Attr
 from ladderhub.pbs.dates import parse_date
 
@@ -67,7 +67,7 @@
     given = {attr.name: attr.value for attr in attrs}
     harmless = {"Priority": ("0",), "Mail_Points": ("n",)}
     found: dict[str, str] = {}
-    for name, note in SHOWN.items():
+    for name, note in STORED_ONLY.items():
         value = given.get(name, "")
         unused = name == "Mail_Users" and given.get("Mail_Points") == "n"
         if note and value and value not in harmless.get(name, ()) and not unused:
--- a/ladderhub/commands/qstat.py
+++ b/ladderhub/commands/qstat.py
@@ -8,7 +8,7 @@
 
 from ladderhub.commands import client
 from ladderhub.pbs import names as n
-from ladderhub.pbs.attributes import variables_of
+from ladderhub.pbs.attributes import parse_variables
 from ladderhub.pbs.batch import Attr, Request, Row
 
 USAGE = (
@@ -202,7 +202,7 @@
                 assert isinstance(group, dict)
                 group[attr.resource] = _convert_number(attr.resource, attr.value)
             elif attr.name == "Variable_List":
-                entry[attr.name] = variables_of(attr.value)
+                entry[attr.name] = parse_variables(attr.value)
             elif attr.name == "message":
                 texts = entry.setdefault(attr.name, [])
                 assert isinstance(texts, list)
--- a/ladderhub/commands/qsub.py
+++ b/ladderhub/commands/qsub.py
@@ -11,8 +11,8 @@
 from ladderhub.commands.jobattrs import MAX_NAME_LENGTH, check_option, list_warnings, make_attr
 from ladderhub.pbs import names as n
 from ladderhub.pbs.batch import Attr, Request
-from ladderhub.pbs.jobscript import PREFIX, ScriptError, directives
-from ladderhub.pbs.resources import ResourceError, parse_list, wanted
+from ladderhub.pbs.jobscript import DIRECTIVE_PREFIX, ScriptError, parse_directives
+from ladderhub.pbs.resources import ResourceError, parse_list, parse_resources
 
 USAGE = (
     "qsub [-a date_time] [-A account] [-c interval] [-C directive_prefix] [-e path] [-h] [-j oe|eo|n] "
@@ -63,11 +63,11 @@
     if len(operands) > 1:
         raise client.CommandError(f"usage: {USAGE}")
     if not operands or operands[0] == "-":
-        return sys.stdin.buffer.read(n.SCRIPT_MOST + 1), "STDIN"
+        return sys.stdin.buffer.read(n.MAX_SCRIPT_BYTES + 1), "STDIN"
     path = operands[0]
     try:
         with open(path, "rb") as file:
-            return file.read(n.SCRIPT_MOST + 1), os.path.basename(path)
+            return file.read(n.MAX_SCRIPT_BYTES + 1), os.path.basename(path)
     except OSError as fault:
         raise client.CommandError(f"script file: {path}: {fault.strerror}") from None
 
@@ -78,13 +78,13 @@
     submission = Submission()
     submission.add_options(options, "")
     script, name = read_script(operands)
-    if len(script) > n.SCRIPT_MOST:
-        raise client.CommandError(f"the script is longer than {n.SCRIPT_MOST} bytes")
+    if len(script) > n.MAX_SCRIPT_BYTES:
+        raise client.CommandError(f"the script is longer than {n.MAX_SCRIPT_BYTES} bytes")
     if not script:
         raise client.CommandError("the script is empty")
-    prefix = submission.options.get("C", os.environ.get("PBS_DPREFIX") or PREFIX)
+    prefix = submission.options.get("C", os.environ.get("PBS_DPREFIX") or DIRECTIVE_PREFIX)
     try:
-        for line, parts in directives(script, prefix):
+        for line, parts in parse_directives(script, prefix):
             found, rest = client.parse_options(parts, OPTION_LETTERS, USAGE)
             if rest:
                 raise client.CommandError(f"line {line}: {rest[0]!r} in a directive; only options are meant")
@@ -183,7 +183,7 @@
 def main(argv: list[str]) -> int:
     submission, script, name = collect_options(argv)
     try:
-        wanted(submission.resources)
+        parse_resources(submission.resources)
     except ResourceError as fault:
         raise client.CommandError(f"illegal -l value: {fault}") from None
     destination = submission.options.get("q", "")
--- a/ladderhub/node/agent.py
+++ b/ladderhub/node/agent.py
@@ -244,7 +244,7 @@
         attrs = [Attr("job_state", "R"), Attr("run_version", str(job.key[1])), Attr("exec_host", self.name)]
         return Request(
             n.MODIFY_JOB,
-            f"{n.NODE_USER}{self.name}",
+            f"{n.NODE_USER_PREFIX}{self.name}",
             job.key[0],
             attrs,
             command=n.CMD_SET,
@@ -274,7 +274,7 @@
             Attr("run_version", str(key[1])), Attr("exit_reason", ended.reason), Attr("exec_host", self.name),
             Attr("load", f"{cores:g}", "cores_free"), Attr("load", f"{memory:g}", "memory_free"),
         ]  # fmt: skip
-        return Request(n.JOB_OBIT, f"{n.NODE_USER}{self.name}", key[0], attrs, status=ended.status)
+        return Request(n.JOB_OBIT, f"{n.NODE_USER_PREFIX}{self.name}", key[0], attrs, status=ended.status)
 
     def _get_recent_load(self) -> tuple[float, float]:
         """Return the free resources, computed at most once per LOAD_INTERVAL_NS."""
--- a/ladderhub/node/connection.py
+++ b/ladderhub/node/connection.py
@@ -13,11 +13,11 @@
 from ladderhub.node.jobs import parse_run
 from ladderhub.pbs import names as n
 from ladderhub.pbs.batch import Reply, Request, refusal
-from ladderhub.pbs.connection import SUBMITTING, Exchange, ServerConnection
+from ladderhub.pbs.connection import SUBMISSION_REQUESTS, Exchange, ServerConnection
 from ladderhub.usage.accounted import CountedStream
 from ladderhub.usage.traffic import SCHEDULER, Traffic
 
-MAX_UNSERVED_BYTES = 2 * n.SCRIPT_MOST
+MAX_UNSERVED_BYTES = 2 * n.MAX_SCRIPT_BYTES
 ReplyCallback = Callable[[Reply], None]
 
 
@@ -67,8 +67,8 @@
             self._traffic.messages_in += 1
             self._unserved.append(exchange)
         self._serve_next()
-        if self._connection.trouble is not None:
-            self._write(self._connection.ready())
+        if self._connection.protocol_error is not None:
+            self._write(self._connection.take_ready())
         elif sum(len(exchange.request.data) for exchange in self._unserved) > MAX_UNSERVED_BYTES:
             stream.abort(BufferError(f"unserved requests exceed {MAX_UNSERVED_BYTES} bytes"))
 
@@ -83,7 +83,7 @@
         self._serving = True
         try:
             while self._unserved and not self.stream.closed:
-                if self._admitting and self._unserved[0].request.type in SUBMITTING:
+                if self._admitting and self._unserved[0].request.type in SUBMISSION_REQUESTS:
                     return
                 exchange = self._unserved.popleft()
                 if exchange.request.type == n.DISCONNECT:
@@ -122,7 +122,7 @@
 
     def _on_job_script(self, request: Request) -> Reply:
         self._script += request.data
-        if self._offer is not None and len(self._script) <= n.SCRIPT_MOST:
+        if self._offer is not None and len(self._script) <= n.MAX_SCRIPT_BYTES:
             return Reply()
         if self._offer is not None:
             self._service.withdraw(self._offer)  # a following Commit must not start a partial script
--- a/ladderhub/node/jobs.py
+++ b/ladderhub/node/jobs.py
@@ -10,9 +10,9 @@
 from ladderhub.node.admission import Offer, RunKey
 from ladderhub.node.runners import JobSpec
 from ladderhub.pbs import names as n
-from ladderhub.pbs.attributes import variables_of
+from ladderhub.pbs.attributes import parse_variables
 from ladderhub.pbs.batch import Attr, Reply, Request, Row
-from ladderhub.pbs.resources import GIB, wanted
+from ladderhub.pbs.resources import GIB, parse_resources
 
 DEFAULT_JOB_NAME = "STDIN"
 DEFAULT_CORES = 1.0
@@ -86,7 +86,9 @@
 def parse_job(request: Request, node: str) -> NodeJob:
     """Return the job of a Queue Job request.  Raises `ResourceError` if it requests unsupported resources."""
     get, key = request.get, (request.job, parse_run(request))
-    resources = wanted({attr.resource: attr.value for attr in request.attrs if attr.name == "Resource_List"})
+    resources = parse_resources(
+        {attr.resource: attr.value for attr in request.attrs if attr.name == "Resource_List"}
+    )
     cores = DEFAULT_CORES if resources.cores is None else resources.cores
     memory_gib = resources.memory / GIB
     offer = Offer(
@@ -102,7 +104,7 @@
         cores=cores,
         memory_gib=memory_gib,
         walltime_s=resources.walltime_s,
-        variables=variables_of(get("Variable_List")),
+        variables=parse_variables(get("Variable_List")),
         output=get("Output_Path"),
         error=get("Error_Path"),
         join=get("Join_Path", "n"),
--- a/ladderhub/pbs/attributes.py
+++ b/ladderhub/pbs/attributes.py
@@ -11,13 +11,13 @@
 from ladderhub.pbs.batch import Attr
 
 # The scheduler, the owner's decisions or the node use each of these.
-ACTING = frozenset((
+SUPPORTED = frozenset((
     "Job_Name", "Job_Owner", "Account_Name", "Error_Path", "Output_Path", "Join_Path", "Keep_Files",
     "Hold_Types", "Rerunable", "Resource_List", "Shell_Path_List", "Variable_List", "service", "umask",
 ))  # fmt: skip
 # Stored and shown but without effect.  They are accepted since job scripts often contain them; `qsub` prints
 # the text as a warning.
-SHOWN = {
+STORED_ONLY = {
     "Mail_Points": "no mail is sent here",
     "Mail_Users": "no mail is sent here",
     "Priority": "it is kept and shown; the order among jobs follows from the priority of their queue",
@@ -34,10 +34,10 @@
     "run_count": "it is counted here and can't be set",
 }
 # Attributes that can be changed on a running job: they still take effect, or are only shown.
-WHILE_RUNNING = frozenset(("Rerunable", *SHOWN))
+CHANGEABLE_WHILE_RUNNING = frozenset(("Rerunable", *STORED_ONLY))
 
 
-def unserved(attr: Attr, now_s: int) -> tuple[int, str] | None:
+def find_unsupported(attr: Attr, now_s: int) -> tuple[int, str] | None:
     """Returns the error code and text for an attribute that can't be accepted; None where it can.
 
     `now_s`: seconds since the epoch."""
@@ -71,7 +71,7 @@
         return n.BAD_ATTRIBUTE_VALUE, f"{name}={value}: up to four octal digits are meant, as 022"
     if name == "User_List":
         return n.BAD_ATTRIBUTE_VALUE, f"{name}={value}: jobs run as the user of their node's agent"
-    if name in ACTING or name in SHOWN:
+    if name in SUPPORTED or name in STORED_ONLY:
         return None
     reason = _REFUSED.get(name, "unknown here")
     return n.NO_ATTRIBUTE, f"{name}{f'={value}' if value else ''}: {reason}"
@@ -93,6 +93,6 @@
     return [*parts, part] if part or parts else []
 
 
-def variables_of(text: str) -> dict[str, str]:
+def parse_variables(text: str) -> dict[str, str]:
     """Parses a `Variable_List` into names and values."""
     return dict(pair.split("=", 1) for pair in split_variables(text) if "=" in pair)
--- a/ladderhub/pbs/batch.py
+++ b/ladderhub/pbs/batch.py
@@ -10,9 +10,9 @@
 from collections.abc import Iterable, Iterator
 
 from ladderhub.pbs import names as n
-from ladderhub.pbs.dis import DisError, NeedMore, Reader, number, string
+from ladderhub.pbs.dis import DisError, NeedMore, Reader, encode_number, encode_string
 
-MAX_STRING_BYTES = n.SCRIPT_MOST
+MAX_STRING_BYTES = n.MAX_SCRIPT_BYTES
 MAX_MESSAGE_BYTES = MAX_STRING_BYTES + 256 * 1024
 MAX_ATTRIBUTES = 2000
 MAX_ROWS = 2_000_000
@@ -99,13 +99,13 @@
 
 
 def _encode_attrs(attrs: list[Attr]) -> bytes:
-    parts = [number(len(attrs))]
+    parts = [encode_number(len(attrs))]
     for attr in attrs:
         size = len(attr.name) + len(attr.value) + 2 + (len(attr.resource) + 1 if attr.resource else 0)
-        parts += [number(size), string(attr.name), number(1 if attr.resource else 0)]
+        parts += [encode_number(size), encode_string(attr.name), encode_number(1 if attr.resource else 0)]
         if attr.resource:
-            parts.append(string(attr.resource))
-        parts += [string(attr.value), number(attr.op)]
+            parts.append(encode_string(attr.resource))
+        parts += [encode_string(attr.value), encode_number(attr.op)]
     return b"".join(parts)
 
 
@@ -131,37 +131,52 @@
 def encode_request(request: Request) -> bytes:
     """Encodes a request with its header and extension."""
     kind = request.type
-    parts = [number(n.PROTOCOL), number(n.VERSION), number(kind), string(request.user)]
+    parts = [
+        encode_number(n.PROTOCOL),
+        encode_number(n.VERSION),
+        encode_number(kind),
+        encode_string(request.user),
+    ]
     if kind == n.QUEUE_JOB:
-        parts += [string(request.job), string(request.destination), _encode_attrs(request.attrs)]
+        parts += [
+            encode_string(request.job),
+            encode_string(request.destination),
+            _encode_attrs(request.attrs),
+        ]
     elif kind == n.JOB_SCRIPT:
-        parts += [number(request.sequence), number(request.file_kind), number(len(request.data))]
-        parts += [string(request.job), string(request.data)]
+        parts += [
+            encode_number(request.sequence),
+            encode_number(request.file_kind),
+            encode_number(len(request.data)),
+        ]
+        parts += [encode_string(request.job), encode_string(request.data)]
     elif kind in _JOB_ONLY:
-        parts.append(string(request.job))
+        parts.append(encode_string(request.job))
     elif kind in _MANAGE:
         name = request.job or request.name
         parts += [
-            number(request.command),
-            number(request.object_type),
-            string(name),
+            encode_number(request.command),
+            encode_number(request.object_type),
+            encode_string(name),
             _encode_attrs(request.attrs),
         ]
     elif kind == n.MESSAGE_JOB:
-        parts += [string(request.job), number(request.file_kind), string(request.text)]
+        parts += [encode_string(request.job), encode_number(request.file_kind), encode_string(request.text)]
     elif kind == n.SELECT_JOBS:
         parts.append(_encode_attrs(request.attrs))
     elif kind == n.SHUTDOWN:
-        parts.append(number(request.manner))
+        parts.append(encode_number(request.manner))
     elif kind == n.SIGNAL_JOB:
-        parts += [string(request.job), string(request.text)]
+        parts += [encode_string(request.job), encode_string(request.text)]
     elif kind in _STATUS:
-        parts += [string(request.job or request.name), _encode_attrs(request.attrs)]
+        parts += [encode_string(request.job or request.name), _encode_attrs(request.attrs)]
     elif kind == n.JOB_OBIT:
-        parts += [string(request.job), number(request.status), _encode_attrs(request.attrs)]
+        parts += [encode_string(request.job), encode_number(request.status), _encode_attrs(request.attrs)]
     elif kind not in _EMPTY:
         raise DisError(f"request {kind} can't be written")
-    parts.append(number(1) + string(request.extension) if request.extension else number(0))
+    parts.append(
+        encode_number(1) + encode_string(request.extension) if request.extension else encode_number(0)
+    )
     return b"".join(parts)
 
 
@@ -223,32 +238,39 @@
 def encode_reply(reply: Reply) -> bytes:
     """Encodes a whole reply."""
     parts = [
-        number(n.PROTOCOL),
-        number(n.VERSION),
-        number(reply.code),
-        number(reply.aux),
-        number(reply.choice),
+        encode_number(n.PROTOCOL),
+        encode_number(n.VERSION),
+        encode_number(reply.code),
+        encode_number(reply.aux),
+        encode_number(reply.choice),
     ]
     if reply.choice in (n.R_QUEUE, n.R_READY, n.R_COMMIT, n.R_LOCATE):
-        parts.append(string(reply.job))
+        parts.append(encode_string(reply.job))
     elif reply.choice == n.R_SELECT:
-        parts.append(number(len(reply.jobs)))
-        parts += [string(job) for job in reply.jobs]
+        parts.append(encode_number(len(reply.jobs)))
+        parts += [encode_string(job) for job in reply.jobs]
     elif reply.choice == n.R_STATUS:
-        parts.append(number(len(reply.rows)))
+        parts.append(encode_number(len(reply.rows)))
         for row in reply.rows:
-            parts += [number(row.object_type), string(row.name), _encode_attrs(row.attrs)]
+            parts += [encode_number(row.object_type), encode_string(row.name), _encode_attrs(row.attrs)]
     elif reply.choice == n.R_TEXT:
-        parts.append(string(reply.text))
+        parts.append(encode_string(reply.text))
     return b"".join(parts)
 
 
 def encode_rows(count: int, rows: Iterable[Row], rows_per_piece: int = 100) -> Iterator[bytes]:
     """Encodes a status reply of `count` rows in pieces, so that a long one is never held as a whole."""
-    parts = [number(n.PROTOCOL), number(n.VERSION), number(0), number(0), number(n.R_STATUS), number(count)]
+    parts = [
+        encode_number(n.PROTOCOL),
+        encode_number(n.VERSION),
+        encode_number(0),
+        encode_number(0),
+        encode_number(n.R_STATUS),
+        encode_number(count),
+    ]
     buffered_rows = 0
     for row in rows:
-        parts += [number(row.object_type), string(row.name), _encode_attrs(row.attrs)]
+        parts += [encode_number(row.object_type), encode_string(row.name), _encode_attrs(row.attrs)]
         buffered_rows += 1
         if buffered_rows == rows_per_piece:
             yield b"".join(parts)
--- a/ladderhub/pbs/connection.py
+++ b/ladderhub/pbs/connection.py
@@ -36,7 +36,7 @@
     (COMMITTED, n.COMMIT): COMMITTED,  # repeated by a client that missed the reply; names the same job
     (IDLE, n.COMMIT): IDLE,  # repeated over a new connection; the identifier names the job
 }
-SUBMITTING = frozenset((n.QUEUE_JOB, n.JOB_SCRIPT, n.READY_TO_COMMIT, n.COMMIT))
+SUBMISSION_REQUESTS = frozenset((n.QUEUE_JOB, n.JOB_SCRIPT, n.READY_TO_COMMIT, n.COMMIT))
 
 
 class Draft:
@@ -64,18 +64,18 @@
     sent now, in the order of the requests.
 
     Every request gets its answer, whatever follows it: Disconnect and the error reply to invalid bytes
-    (`trouble` holds the reason) are exchanges in the same queue, marked `last`."""
+    (`protocol_error` holds the reason) are exchanges in the same queue, marked `last`."""
 
     def __init__(self) -> None:
         self._parser = RequestParser()
         self._exchanges: deque[Exchange] = deque()
         self.state = IDLE
         self.draft: Draft | None = None
-        self.trouble: str | None = None
+        self.protocol_error: str | None = None
 
     def receive(self, data: bytes) -> list[Exchange]:
         """Returns an exchange for each request that is complete with these bytes."""
-        if self.trouble is not None or self.state == CLOSED:
+        if self.protocol_error is not None or self.state == CLOSED:
             return []
         self._parser.feed(data)
         received = []
@@ -83,33 +83,33 @@
             while (request := self._parser.next()) is not None:
                 received.append(Exchange(request))
         except DisError as fault:
-            self.trouble = str(fault)
+            self.protocol_error = str(fault)
         self._exchanges.extend(received)
-        if self.trouble is not None:
+        if self.protocol_error is not None:
             error_exchange = Exchange(Request(n.DISCONNECT))
             error_exchange.reply = encode_reply(
-                Reply(n.PROTOCOL_ERROR, n.R_TEXT, text=f"Protocol error: {self.trouble}")
+                Reply(n.PROTOCOL_ERROR, n.R_TEXT, text=f"Protocol error: {self.protocol_error}")
             )
             error_exchange.last = True
             self._exchanges.append(error_exchange)
         return received
 
-    def waiting(self) -> int:
+    def count_unanswered(self) -> int:
         """Returns the number of exchanges whose replies were not taken yet."""
         return len(self._exchanges)
 
-    def may(self, request: Request) -> bool:
+    def is_allowed(self, request: Request) -> bool:
         """Whether the request is valid in this state.  Only the steps of a submission depend on it."""
-        if request.type not in SUBMITTING:
+        if request.type not in SUBMISSION_REQUESTS:
             return True
         if (self.state, request.type) not in TRANSITIONS:
             return False
         other_job = self.draft is not None and request.type != n.QUEUE_JOB and request.job != self.draft.job
         return not (other_job and self.state != COMMITTED)
 
-    def granted(self, request: Request) -> None:
+    def record_success(self, request: Request) -> None:
         """Records that the request succeeded and moves the submission to its next state."""
-        if request.type in SUBMITTING:
+        if request.type in SUBMISSION_REQUESTS:
             self.state = TRANSITIONS[self.state, request.type]
             if self.state in (IDLE, COMMITTED):
                 self.draft = None
@@ -126,15 +126,15 @@
         if exchange.reply is not None:
             raise RuntimeError(f"{n.REQUESTS[exchange.request.type]} is answered already")
         exchange.reply = encode_reply(reply) if isinstance(reply, Reply) else reply
-        return self.ready()
+        return self.take_ready()
 
     def disconnect(self, exchange: Exchange) -> list[Exchange]:
         """Handles Disconnect, which has no reply; the connection ends once earlier requests are answered."""
-        self.granted(exchange.request)
+        self.record_success(exchange.request)
         exchange.reply, exchange.last = b"", True
-        return self.ready()
+        return self.take_ready()
 
-    def ready(self) -> list[Exchange]:
+    def take_ready(self) -> list[Exchange]:
         """Takes the exchanges whose replies can be sent now.  Must be called once after invalid bytes."""
         ready = []
         while self._exchanges and self._exchanges[0].reply is not None:
--- a/ladderhub/pbs/dis.py
+++ b/ladderhub/pbs/dis.py
@@ -33,7 +33,7 @@
         self.total = total
 
 
-def number(value: int) -> bytes:
+def encode_number(value: int) -> bytes:
     """Encodes a signed or unsigned number."""
     if 0 <= value < 10:
         return _ONE_DIGIT_NUMBERS[value]
@@ -48,10 +48,10 @@
     return text.encode()
 
 
-def string(value: str | bytes) -> bytes:
+def encode_string(value: str | bytes) -> bytes:
     """Encodes a counted string as UTF-8; bytes that were decoded from invalid UTF-8 are restored."""
     data = value.encode("utf-8", "surrogateescape") if isinstance(value, str) else value
-    return number(len(data)) + data
+    return encode_number(len(data)) + data
 
 
 class Reader:
--- a/ladderhub/pbs/jobscript.py
+++ b/ladderhub/pbs/jobscript.py
@@ -7,7 +7,7 @@
 from ladderhub.errors import LadderhubError
 from ladderhub.pbs import names
 
-PREFIX = "#PBS"
+DIRECTIVE_PREFIX = "#PBS"
 MAX_DIRECTIVE_LENGTH = 64 * 1024
 
 
@@ -18,7 +18,7 @@
     remedy = "mend the directive in that line of the job script"
 
 
-def directives(script: bytes, prefix: str = PREFIX) -> list[tuple[int, list[str]]]:
+def parse_directives(script: bytes, prefix: str = DIRECTIVE_PREFIX) -> list[tuple[int, list[str]]]:
     """Returns the line number and the arguments of each directive.
 
     A first line that begins with `#!` or `:` is skipped.  The first line that is neither empty nor a comment
@@ -32,7 +32,7 @@
         text = line.lstrip()
         if line.startswith(prefix):
             rest = line[len(prefix) :]
-            if rest and not rest[0].isspace() and prefix == PREFIX:
+            if rest and not rest[0].isspace() and prefix == DIRECTIVE_PREFIX:
                 continue  # `#PBSish` is a comment
             if len(line) > MAX_DIRECTIVE_LENGTH:
                 what = f"a directive of {len(line)} characters; {MAX_DIRECTIVE_LENGTH} can be read"
--- a/ladderhub/pbs/names.py
+++ b/ladderhub/pbs/names.py
@@ -30,7 +30,7 @@
 # --- Manager commands, objects, attribute operators (pbs_ifl.h) -------------------------------------------
 CMD_CREATE, CMD_DELETE, CMD_SET, CMD_UNSET, CMD_LIST = 0, 1, 2, 3, 4
 OBJ_SERVER, OBJ_QUEUE, OBJ_JOB, OBJ_NODE = 0, 1, 2, 3
-NODE_USER = "node@"  # nodes send requests as this prefix and their name
+NODE_USER_PREFIX = "node@"  # nodes send requests as this prefix and their name
 OBJ_SERVICE = 50  # not published; an extension for services (sets of copies)
 OBJ_POLICY = 51  # not published; an extension for the configuration of the fleet
 OP_SET, OP_UNSET, OP_INCR, OP_DECR, OP_EQ, OP_NE, OP_GE, OP_GT, OP_LE, OP_LT = range(10)
@@ -75,4 +75,4 @@
 
 # --- job states (POSIX 3.2.2.1: E exiting, H held, Q queued, R running, T transiting, W waiting; F: OpenPBS)
 STATES = "EHQRTWF"
-SCRIPT_MOST = 4 * 1024 * 1024
+MAX_SCRIPT_BYTES = 4 * 1024 * 1024
--- a/ladderhub/pbs/resources.py
+++ b/ladderhub/pbs/resources.py
@@ -96,7 +96,7 @@
     return items
 
 
-class Wanted:
+class ResourceRequest:
     """The resources a job asks for.  `cores` None and `memory` 0: not given; `walltime_s` 0: no limit."""
 
     __slots__ = ("cores", "memory", "mpiprocs", "ompthreads", "walltime_s")
@@ -121,7 +121,7 @@
             raise ResourceError(f"place={value}: {word}: free, pack, scatter, vscatter or shared is meant")
 
 
-def _parse_chunk(name: str, value: str, found: Wanted) -> None:
+def _parse_chunk(name: str, value: str, found: ResourceRequest) -> None:
     """Parses `select=[1:]ncpus=C:mem=M:...` or `nodes=1:ppn=P`, one chunk on one node, into `found`."""
     if "+" in value:
         raise ResourceError(f"{name}={value}: several chunks; one chunk is meant, as {name}=1:...")
@@ -149,11 +149,11 @@
             raise ResourceError(f"{name}={value}: {key} is not known; {known} are")
 
 
-def wanted(resources: dict[str, str]) -> Wanted:
+def parse_resources(resources: dict[str, str]) -> ResourceRequest:
     """Parses a job's `Resource_List`; `ResourceError` names a resource that would have no effect.
 
     A task runs on one machine, so only one chunk is valid."""
-    found = Wanted()
+    found = ResourceRequest()
     chunk = next((name for name in ("select", "nodes") if name in resources), "")
     for name, value in resources.items():
         if name in ("select", "nodes"):
--- a/ladderhub/server/clientlistener.py
+++ b/ladderhub/server/clientlistener.py
@@ -98,10 +98,10 @@
         self._count_requests(exchanges)
         for exchange in exchanges:
             self._serve(exchange)
-        if self.connection.trouble is not None:
+        if self.connection.protocol_error is not None:
             self._door.context.metrics.rejected += 1
-            self._leave(self.connection.ready())
-        elif self.connection.waiting() > PENDING_MOST:
+            self._leave(self.connection.take_ready())
+        elif self.connection.count_unanswered() > PENDING_MOST:
             stream.abort(BufferError("too many requests without an answer"))
 
     def on_closed(self, stream: Stream, fault: BaseException | None) -> None:
@@ -109,7 +109,7 @@
 
     def _count_requests(self, exchanges: list[Exchange]) -> None:
         if self._count is None and exchanges:
-            of_node = exchanges[0].request.user.startswith(n.NODE_USER)
+            of_node = exchanges[0].request.user.startswith(n.NODE_USER_PREFIX)
             self._count = self.stream.count = self._door.context.traffic.of(NODE if of_node else CLIENT)
         self.stream.count.messages_in += len(exchanges)
 
@@ -119,7 +119,7 @@
             self._leave(connection.disconnect(exchange))
             return
         serve = self._door.handlers.get(request.type)
-        if serve is None or not connection.may(request):
+        if serve is None or not connection.is_allowed(request):
             words = n.REQUESTS.get(request.type, str(request.type))
             code = n.UNKNOWN_REQUEST if serve is None else n.PROTOCOL_ERROR
             self._answer(exchange, refusal(code, f"{words} has no place here"))
@@ -128,7 +128,7 @@
 
     def _answer(self, exchange: Exchange, reply: Reply | Iterator[bytes]) -> None:
         if not isinstance(reply, Reply) or reply.code == 0:
-            self.connection.granted(exchange.request)
+            self.connection.record_success(exchange.request)
         else:
             self._door.context.metrics.rejected += 1
         self._leave(self.connection.answer(exchange, reply))
--- a/ladderhub/server/intake.py
+++ b/ladderhub/server/intake.py
@@ -4,9 +4,9 @@
 
 from ladderhub.interface import Effect
 from ladderhub.owner import types as own
-from ladderhub.pbs.attributes import unserved
+from ladderhub.pbs.attributes import find_unsupported
 from ladderhub.pbs.batch import Attr, Reply, refusal
-from ladderhub.pbs.resources import GIB, wanted
+from ladderhub.pbs.resources import GIB, parse_resources
 from ladderhub.server.context import DaemonContext
 from ladderhub.server.jobs import JobNumbers, JobRecord
 
@@ -33,7 +33,7 @@
         record.rerunnable = get("Rerunable", "y").lower() in ("y", "true")
         resources = {attr.resource: attr.value for attr in attrs if attr.name == "Resource_List"}
         queue = self._context.settings.queues_by_index[record.queue]
-        found = wanted(resources)
+        found = parse_resources(resources)
         record.walltime_s, record.mpiprocs, record.ompthreads = (
             found.walltime_s, found.mpiprocs, found.ompthreads,
         )  # fmt: skip
@@ -45,7 +45,7 @@
         """The refusal of the first attribute that nothing here would act on."""
         now_s = self._context.loop.now_ns() // S
         for attr in attrs:
-            refused = unserved(attr, now_s)
+            refused = find_unsupported(attr, now_s)
             if refused is not None:
                 return refusal(*refused)
         return None
--- a/ladderhub/server/jobrequests.py
+++ b/ladderhub/server/jobrequests.py
@@ -7,7 +7,7 @@
 from ladderhub.loop import Timer
 from ladderhub.owner import types as own
 from ladderhub.pbs import names as n
-from ladderhub.pbs.attributes import WHILE_RUNNING
+from ladderhub.pbs.attributes import CHANGEABLE_WHILE_RUNNING
 from ladderhub.pbs.batch import Attr, Reply, Request, refusal
 from ladderhub.pbs.connection import ServerConnection
 from ladderhub.pbs.resources import ResourceError
@@ -120,7 +120,7 @@
         record.values[attr.key()] = Attr(attr.name, attr.value, attr.resource)
 
     def modify(self, connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
-        if request.user.startswith(n.NODE_USER):
+        if request.user.startswith(n.NODE_USER_PREFIX):
             self._words.update(request)
             answer(Reply())
             return
@@ -136,7 +136,7 @@
         if refused is not None:
             answer(refused)
             return
-        fixed = any(attr.name not in WHILE_RUNNING for attr in request.attrs)
+        fixed = any(attr.name not in CHANGEABLE_WHILE_RUNNING for attr in request.attrs)
         if fixed and (record.state not in "HQ" or record.substate not in (10, 20)):
             answer(refusal(n.MODIFY_RUNNING, f"{record.id} is being placed or runs"))
             return
--- a/ladderhub/server/submitting.py
+++ b/ladderhub/server/submitting.py
@@ -80,10 +80,10 @@
     def job_script(self, connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
         draft = connection.draft
         assert draft is not None
-        if len(draft.script) + len(request.data) > n.SCRIPT_MOST:
+        if len(draft.script) + len(request.data) > n.MAX_SCRIPT_BYTES:
             # A Commit that is on its way behind it must not take half a script.
             connection.drop_draft()
-            answer(refusal(n.BAD_SCRIPT, f"the script is longer than {n.SCRIPT_MOST} bytes"))
+            answer(refusal(n.BAD_SCRIPT, f"the script is longer than {n.MAX_SCRIPT_BYTES} bytes"))
             return
         draft.script += request.data
         answer(Reply())
--- a/tests/hard_cases/test_clients.py
+++ b/tests/hard_cases/test_clients.py
@@ -10,7 +10,7 @@
 from ladderhub.loop.http import HttpDoor
 from ladderhub.pbs import names as n
 from ladderhub.pbs.batch import Request, encode_request
-from ladderhub.pbs.dis import number, string
+from ladderhub.pbs.dis import encode_number, encode_string
 
 from tests.world import MS
 from tests.hard_cases.bed import Make, queue_job, raw
@@ -91,10 +91,17 @@
     world = make(1)
     world.daemon()
     target = world.public if port == "scheduler" else world.agents["node-1"].listener.address
-    head = number(2) + number(2) + number(n.JOB_SCRIPT) + string("x") + number(0) + number(0)
+    head = (
+        encode_number(2)
+        + encode_number(2)
+        + encode_number(n.JOB_SCRIPT)
+        + encode_string("x")
+        + encode_number(0)
+        + encode_number(0)
+    )
     with socket.create_connection(target) as sock:
         sock.settimeout(10)
-        sock.sendall(head + number(1 << 30))
+        sock.sendall(head + encode_number(1 << 30))
         world.run_for(200 * MS)
         answer = sock.recv(4096)
         assert b"Protocol error" in answer and b"at most" in answer
--- a/tests/hard_cases/test_replies.py
+++ b/tests/hard_cases/test_replies.py
@@ -23,7 +23,7 @@
     agent.evaluation_ns = (look_ms * MS, look_ms * MS)
     attrs = [*attributes("w", "s", 1, 1, 30), Attr("run_version", "1")]
     offer = Request(n.QUEUE_JOB, job="1.alpha", attrs=attrs)
-    half = Request(n.JOB_SCRIPT, job="1.alpha", data=b"x" * (n.SCRIPT_MOST // 2 + 1))
+    half = Request(n.JOB_SCRIPT, job="1.alpha", data=b"x" * (n.MAX_SCRIPT_BYTES // 2 + 1))
     commit, bye = Request(n.COMMIT, job="1.alpha"), Request(n.DISCONNECT)
 
     def codes(*requests: Request, behind: bytes = b"") -> list[int]:
@@ -77,7 +77,7 @@
         replies = raw_talk(world, world.public, encode_request(cancel) + behind)
         assert [reply.code for reply in replies] == codes and "before it ran" in replies[0].text
     # Half a script that was refused is not taken by the Commit that was on its way behind it.
-    half = Request(n.JOB_SCRIPT, job="3.alpha", data=b"x" * (n.SCRIPT_MOST // 2 + 1))
+    half = Request(n.JOB_SCRIPT, job="3.alpha", data=b"x" * (n.MAX_SCRIPT_BYTES // 2 + 1))
     requests = [Request(n.QUEUE_JOB, attrs=attributes("w", "s", 1, 1, 30), destination="web"), half, half]
     requests += [Request(n.COMMIT, job="3.alpha"), Request(n.DISCONNECT)]
     replies = raw_talk(world, world.public, b"".join(map(encode_request, requests)))
--- a/tests/test_dialect.py
+++ b/tests/test_dialect.py
@@ -18,27 +18,27 @@
     encode_request,
 )
 from ladderhub.pbs.connection import COMMITTED, IDLE, TRANSITIONS, Draft, ServerConnection
-from ladderhub.pbs.dis import DisError, NeedMore, Reader, number, string
-from ladderhub.pbs.jobscript import ScriptError, directives
-from ladderhub.pbs.resources import ResourceError, parse_list, parse_size, parse_time, wanted
+from ladderhub.pbs.dis import DisError, NeedMore, Reader, encode_number, encode_string
+from ladderhub.pbs.jobscript import ScriptError, parse_directives
+from ladderhub.pbs.resources import ResourceError, parse_list, parse_size, parse_time, parse_resources
 
 TEXT = st.text(max_size=40)
 ATTRS = st.lists(st.builds(Attr, TEXT, TEXT, TEXT, st.integers(0, n.OP_LT)), max_size=5)
 
 
 def test_numbers_and_strings_stand_as_published() -> None:
-    assert [number(value) for value in (7, 42, -17, 1234567890)] == [
+    assert [encode_number(value) for value in (7, 42, -17, 1234567890)] == [
         b"+7",
         b"2+42",
         b"2-17",
         b"210+1234567890",
     ]
-    assert string("abc") == b"+3abc"
+    assert encode_string("abc") == b"+3abc"
 
 
 @given(st.integers(-(10**18), 10**18), st.binary(max_size=60))
 def test_dis_round_trip_and_every_cut_asks_for_more(value: int, data: bytes) -> None:
-    whole = number(value) + string(data)
+    whole = encode_number(value) + encode_string(data)
     reader = Reader(whole, 1000)
     assert (reader.read_signed(), reader.read_bytes()) == (value, data)
     for cut in range(len(whole)):
@@ -101,11 +101,11 @@
         if state not in (IDLE, COMMITTED):
             connection.draft = Draft("1.a", Request(n.QUEUE_JOB))
         request = Request(kind, job="1.a")
-        assert connection.may(request)
-        connection.granted(request)
+        assert connection.is_allowed(request)
+        connection.record_success(request)
         assert connection.state == after
     connection = ServerConnection()
-    assert not connection.may(Request(n.JOB_SCRIPT, job="1.a"))
+    assert not connection.is_allowed(Request(n.JOB_SCRIPT, job="1.a"))
     first, second = connection.receive(encode_request(Request(n.CONNECT)) * 2)
     assert connection.answer(second, Reply()) == []  # the first is not answered yet
     assert connection.answer(first, Reply()) == [first, second]
@@ -119,18 +119,21 @@
 def test_directives_stand_before_the_first_command() -> None:
     script = b"#!/bin/sh\r\n# words\r\n#PBS -N one -l 'ncpus=2'\r\n\r\n"
     script += b"#PBSx -N no\r\n#PBS -q web\r\necho\r\n#PBS -N late"
-    assert directives(script) == [(3, ["-N", "one", "-l", "ncpus=2"]), (6, ["-q", "web"])]
-    assert directives(b"#PBS -N last") == [(1, ["-N", "last"])]
-    assert directives(b"#X -N a\n", "#X") == [(1, ["-N", "a"])] and directives(b"#PBS -N a\n", "") == []
+    assert parse_directives(script) == [(3, ["-N", "one", "-l", "ncpus=2"]), (6, ["-q", "web"])]
+    assert parse_directives(b"#PBS -N last") == [(1, ["-N", "last"])]
+    assert (
+        parse_directives(b"#X -N a\n", "#X") == [(1, ["-N", "a"])]
+        and parse_directives(b"#PBS -N a\n", "") == []
+    )
 
 
 def test_long_directives_are_read_and_too_long_ones_told() -> None:
     value = "A=" + "x" * 10_240
-    assert directives(f"#PBS -v {value}\n".encode()) == [(1, ["-v", value])]
+    assert parse_directives(f"#PBS -v {value}\n".encode()) == [(1, ["-v", value])]
     with pytest.raises(ScriptError, match="line 1"):
-        directives(b"#PBS -v " + b"x" * 70_000)
+        parse_directives(b"#PBS -v " + b"x" * 70_000)
     with pytest.raises(ScriptError, match="line 2: No closing quotation"):
-        directives(b"#!/bin/sh\n#PBS -N 'open\n")
+        parse_directives(b"#!/bin/sh\n#PBS -N 'open\n")
 
 
 @pytest.mark.parametrize(
@@ -157,12 +160,12 @@
 )  # fmt: skip
 def test_resources_that_can_not_be_read_are_told_by_name(text: str, words: str) -> None:
     with pytest.raises(ResourceError, match=words):
-        wanted(dict(parse_list(text)))
+        parse_resources(dict(parse_list(text)))
 
 
 def test_what_is_asked_comes_out_of_each_form() -> None:
     def read(text: str) -> tuple[float | None, int, int, int, int]:
-        found = wanted(dict(parse_list(text)))
+        found = parse_resources(dict(parse_list(text)))
         return found.cores, found.memory, found.walltime_s, found.mpiprocs, found.ompthreads
 
     assert read("ncpus=2,mem=4gb,walltime=1:00:00") == (2.0, 4 << 30, 3600, 0, 0)
