--- a/ladderhub/server/daemon.py
+++ b/ladderhub/server/daemon.py
@@ -19,15 +19,15 @@
 from ladderhub.server.intake import Intake
 from ladderhub.server.jobrequests import JobRequests
 from ladderhub.server.kept_names import KeptNames, with_kept_names
-from ladderhub.server.members import Members
+from ladderhub.server.nodetracker import NodeTracker
 from ladderhub.server.operatorrequests import OperatorRequests
-from ladderhub.server.owning import Owning
-from ladderhub.server.placing import Placing
+from ladderhub.server.ownerexecutor import OwnerExecutor
+from ladderhub.server.placing import PlacementExecutor
+from ladderhub.server.runcontrol import RunControl
 from ladderhub.server.services import Services
 from ladderhub.server.settings import LoadedSettings, PeerSettings
-from ladderhub.server.status import Status
-from ladderhub.server.submitting import Submitting
-from ladderhub.server.words import Words
+from ladderhub.server.status import StatusRequests
+from ladderhub.server.submitting import SubmissionRequests
 
 MS, S = 1_000_000, 1_000_000_000
 SWEEP_INTERVAL_NS = 1 * S
@@ -50,26 +50,31 @@
             context.owner,
             context.module,
         )
-        placing = Placing(context)
-        words = Words(context, placing)
-        owning = Owning(context, placing, words)
-        context.register_executors(placing, owning)
+        placement_executor = PlacementExecutor(context)
+        run_control = RunControl(context, placement_executor)
+        owner_executor = OwnerExecutor(context, placement_executor, run_control)
+        context.register_executors(placement_executor, owner_executor)
         intake = Intake(context)
-        self.members = Members(context, words, intake)
-        self.nodes = self.members.list
-        self.services = Services(context, intake, self.members)
-        KeptNames(context, self.services.get_queues, self.members.kinds)
+        self.node_tracker = NodeTracker(context, run_control, intake)
+        self.nodes = self.node_tracker.node_list
+        self.services = Services(context, intake, self.node_tracker)
+        KeptNames(context, self.services.get_queues, self.node_tracker.get_listed_kinds)
         self.client_listener = ClientListener(context)
-        operator_requests = OperatorRequests(context, self.members, self.shut_down)
+        operator_requests = OperatorRequests(context, self.node_tracker, self.shut_down)
         operator_requests.register(n.OBJ_SERVICE, self.services.serve)
         for requests in (
-            Submitting(context, intake), JobRequests(context, intake, words),
-            Status(context, self.members), operator_requests,
+            SubmissionRequests(context, intake), JobRequests(context, intake, run_control),
+            StatusRequests(context, self.node_tracker), operator_requests,
         ):  # fmt: skip
             self.client_listener.register(requests.get_handlers())
         # In start order.  The client listener is first, since nodes are told its address.  Services are
         # loaded before nodes report what they run.
-        self.components: list[Component] = [self.client_listener, self.services, self.members, owning]
+        self.components: list[Component] = [
+            self.client_listener,
+            self.services,
+            self.node_tracker,
+            owner_executor,
+        ]
         if settings.peers is not None:
             self._add_peers(settings.peers, operator_requests)
         self.on_end: Callable[[], None] | None = None
@@ -101,7 +106,7 @@
         self.log.info("ready", server=self.context.name, address=self.context.advertise)
 
     def _sweep(self) -> None:
-        self.jobs.sweep(self.loop.now_ns())
+        self.jobs.remove_expired(self.loop.now_ns())
         self.loop.call_later(SWEEP_INTERVAL_NS, self._sweep)
 
     def count_unsettled(self) -> int:
--- a/ladderhub/server/operatorrequests.py
+++ b/ladderhub/server/operatorrequests.py
@@ -9,7 +9,7 @@
 from ladderhub.pbs.connection import ServerConnection
 from ladderhub.server.clientlistener import ReplyCallback, RequestHandler
 from ladderhub.server.context import DaemonContext
-from ladderhub.server.members import Members
+from ladderhub.server.nodetracker import NodeTracker
 
 _UNAVAILABLE = {
     n.OBJ_POLICY: "the settings of this scheduler name no peers with electors: its file is its policy",
@@ -19,8 +19,10 @@
 class OperatorRequests:
     """Handles operators' requests; `shut_down` begins the daemon's clean stop."""
 
-    def __init__(self, context: DaemonContext, members: Members, shut_down: Callable[[], None]) -> None:
-        self._context, self._members, self._shut_down = context, members, shut_down
+    def __init__(
+        self, context: DaemonContext, node_tracker: NodeTracker, shut_down: Callable[[], None]
+    ) -> None:
+        self._context, self._node_tracker, self._shut_down = context, node_tracker, shut_down
         self._handlers: dict[int, RequestHandler] = {n.OBJ_NODE: self.manage_node}
 
     def register(self, object_type: int, handler: RequestHandler) -> None:
@@ -44,14 +46,14 @@
         if request.command != n.CMD_SET or request.object_type != n.OBJ_NODE:
             answer(refusal(n.INVALID_REQUEST, "only «set node NAME state = offline|free» is known"))
             return
-        if request.name not in self._members.list.entries:
+        if request.name not in self._node_tracker.node_list.entries:
             answer(refusal(n.UNKNOWN_NODE, f"Unknown node {request.name}"))
             return
         state = request.get("state")
         if state not in ("offline", "free"):
             answer(refusal(n.BAD_ATTRIBUTE_VALUE, f"state={state}: offline or free is meant"))
             return
-        self._members.set_offline(request.name, state == "offline", answer)
+        self._node_tracker.set_offline(request.name, state == "offline", answer)
 
     def handle_shutdown(self, connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
         """Acknowledge the request, then stop the daemon."""
--- a/ladderhub/server/services.py
+++ b/ladderhub/server/services.py
@@ -26,10 +26,10 @@
 from ladderhub.server.context import DaemonContext
 from ladderhub.server.intake import Intake
 from ladderhub.server.jobs import JobRecord
-from ladderhub.server.members import Members
+from ladderhub.server.nodetracker import NodeTracker
 from ladderhub.server.settings import SettingsError, parse_duration_ns
 from ladderhub.server.spool import SpoolError, write_durably
-from ladderhub.server.words import int_of
+from ladderhub.server.runcontrol import parse_int
 from ladderhub.usage.processor import Cause
 
 NODE_REPORT_POLL_NS = 200_000_000
@@ -75,8 +75,8 @@
 class Services:
     """Executes the rollout decisions; a component of the daemon."""
 
-    def __init__(self, context: DaemonContext, intake: Intake, members: Members) -> None:
-        self._context, self._intake, self._members = context, intake, members
+    def __init__(self, context: DaemonContext, intake: Intake, node_tracker: NodeTracker) -> None:
+        self._context, self._intake, self._node_tracker = context, intake, node_tracker
         self.rollouts = Rollouts(context.settings.rollouts)
         self._tell = context.dispatcher.register(self.rollouts, self)
         self._stored_services: dict[str, StoredService] = {}
@@ -143,7 +143,7 @@
         """Tell the decisions once every node has reported what it runs.
 
         Earlier, they would start copies that run but were not reported yet a second time."""
-        if self._members.unheard() == set():
+        if self._node_tracker.find_unreported_nodes() == set():
             self.all_nodes_reported = True
             self._context.log.info("rollout", what="settled", text="every node has said what it runs")
             self._tell(t.AllNodesReported())
@@ -189,7 +189,7 @@
         stored = self._stored_services[action.service]
         version = stored.versions[action.version]
         try:
-            job = f"{self._intake.numbers.take()}.{self._context.name}"
+            job = f"{self._intake.numbers.allocate()}.{self._context.name}"
         except OSError as fault:
             self._context.log.error("no job number", exc_info=fault)
             self._tell(t.Ended(action.copy, t.End.REFUSED))
@@ -197,11 +197,11 @@
         record = self._context.jobs.add(job, self._context.settings.queues.index(stored.queue), now)
         attrs = [Attr(name, value, resource) for name, resource, value in version.attrs]
         attrs += [Attr(SLOT_ATTRIBUTE, str(action.slot)), Attr(VERSION_ATTRIBUTE, str(action.version))]
-        self._intake.describe(record, attrs)
+        self._intake.read_attributes(record, attrs)
         record.script = version.script
         self._job_of[action.copy], self._copy_of[record.number] = record, action.copy
         effect = self.rollouts.services[action.service].rules.effect
-        self._intake.take(record, held=False, lasting=True, effect=effect)
+        self._intake.accept(record, held=False, stop_until_confirmed=True, effect=effect)
 
     def _persist(self, name: str) -> None:
         service = self.rollouts.services.get(name)
@@ -238,7 +238,7 @@
     # --- events of copies -----------------------------------------------------------------------------------
 
     def _on_placed(self, record: JobRecord) -> None:
-        entry = self._members.list.entries.get(record.run_machine)
+        entry = self._node_tracker.node_list.entries.get(record.run_machine)
         rack = f"{entry.zone}/{entry.rack}" if entry is not None else ""
         copy = self._copy_of.get(record.number)
         if copy is not None:
@@ -247,7 +247,7 @@
             self._last_found_copy -= 1
             self._job_of[self._last_found_copy], self._copy_of[record.number] = record, self._last_found_copy
             slot, version = (
-                int_of(record.values[name].value) for name in (SLOT_ATTRIBUTE, VERSION_ATTRIBUTE)
+                parse_int(record.values[name].value) for name in (SLOT_ATTRIBUTE, VERSION_ATTRIBUTE)
             )
             self._tell(
                 t.RunFound(record.service, self._last_found_copy, slot, version, record.run_machine, rack)
@@ -346,15 +346,15 @@
         script = request.get("script").encode("utf-8", "surrogateescape")
         if not script:
             raise ServiceError("script: found nothing; what each copy runs is meant")
-        refused = self._intake.unserved(attrs)
+        refused = self._intake.find_unsupported(attrs)
         if refused is not None:
             raise ServiceError(refused.text)
         attrs += [Attr("service", name), Attr("Job_Owner", request.user)]
         if not request.get("Job_Name"):
             attrs.append(Attr("Job_Name", name if name[0].isalpha() else f"S{name}"))
         candidate = JobRecord(0, "", context.settings.queues.index(queue))
-        self._intake.describe(candidate, attrs)
-        problem = self._intake.check(candidate)
+        self._intake.read_attributes(candidate, attrs)
+        problem = self._intake.explain_unplaceable(candidate)
         if problem:
             raise ServiceError(problem)
         rules = self._build_rules(name, queue, _parse_integer(request.get("count"), "count"))
