--- a/ladderhub/pbs/batch.py
+++ b/ladderhub/pbs/batch.py
@@ -122,6 +122,7 @@
 
 # --- requests -------------------------------------------------------------------------------------------
 
+# Requests that share an encoding.
 _MANAGE = (n.DELETE_JOB, n.HOLD_JOB, n.MANAGER, n.MODIFY_JOB, n.RELEASE_JOB)
 _JOB_ONLY = (n.READY_TO_COMMIT, n.COMMIT, n.LOCATE_JOB)
 _STATUS = (n.STATUS_JOB, n.STATUS_QUEUE, n.STATUS_SERVER, n.STATUS_NODE)
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -111,7 +111,7 @@
         assert got == status and words in out and "Traceback" not in out, (argv, got, out)
 
 
-def test_what_nothing_acts_on_is_refused_by_name_or_warned_of(fleet: Fleet) -> None:
+def test_unsupported_options_are_refused_by_name_or_warned_about(fleet: Fleet) -> None:
     # Guards against a job that starts too early or without a resource because its attribute was ignored.
     refused = [
         (["-W", "depend=afterok:1"], 2, "depend=afterok:1: a job does not wait for another here yet"),
@@ -192,7 +192,7 @@
     assert wait_for_state(real, held, "F")["Exit_status"] == 265
 
 
-def test_a_job_blocked_on_reports_how_it_ended(real: Fleet) -> None:
+def test_a_blocking_submission_returns_the_exit_status_of_its_job(real: Fleet) -> None:
     status, out = real.command(
         "sched0", ["qsub", "-W", "block=true", "-j", "oe"], "echo out; echo err >&2; exit 7\n"
     )
@@ -227,7 +227,7 @@
     assert real.run_until(lambda: not any(map(alive, pids)), 10 * S)
 
 
-def test_a_killed_scheduler_adopts_what_runs_and_doubles_nothing(fleet: Fleet) -> None:
+def test_a_restarted_scheduler_adopts_running_jobs_and_runs_none_twice(fleet: Fleet) -> None:
     jobs = [
         run(fleet, "qsub", "-q", queue, script="sleep 60\n")
         for queue in ("billing", "web", "billing", "mail")
