--- a/ladderhub/server/clientlistener.py
+++ b/ladderhub/server/clientlistener.py
@@ -97,10 +97,10 @@
         self._count_requests(exchanges)
         for exchange in exchanges:
             self._handle(exchange)
-        if self.connection.trouble is not None:
+        if self.connection.protocol_error is not None:
             self._listener.context.metrics.rejected += 1
-            self._queue_replies(self.connection.ready())
-        elif self.connection.waiting() > MAX_PENDING_REQUESTS:
+            self._queue_replies(self.connection.take_ready())
+        elif self.connection.count_unanswered() > MAX_PENDING_REQUESTS:
             stream.abort(BufferError("too many requests without an answer"))
 
     def on_closed(self, stream: Stream, fault: BaseException | None) -> None:
@@ -108,7 +108,7 @@
 
     def _count_requests(self, exchanges: list[Exchange]) -> None:
         if self._count is None and exchanges:
-            of_node = exchanges[0].request.user.startswith(n.NODE_USER)
+            of_node = exchanges[0].request.user.startswith(n.NODE_USER_PREFIX)
             self._count = self.stream.count = self._listener.context.traffic.of(NODE if of_node else CLIENT)
         self.stream.count.messages_in += len(exchanges)
 
@@ -118,7 +118,7 @@
             self._queue_replies(connection.disconnect(exchange))
             return
         handler = self._listener.handlers.get(request.type)
-        if handler is None or not connection.may(request):
+        if handler is None or not connection.is_allowed(request):
             name = n.REQUESTS.get(request.type, str(request.type))
             code = n.UNKNOWN_REQUEST if handler is None else n.PROTOCOL_ERROR
             self._answer(exchange, refusal(code, f"{name} has no place here"))
@@ -127,7 +127,7 @@
 
     def _answer(self, exchange: Exchange, reply: Reply | Iterator[bytes]) -> None:
         if not isinstance(reply, Reply) or reply.code == 0:
-            self.connection.granted(exchange.request)
+            self.connection.record_success(exchange.request)
         else:
             self._listener.context.metrics.rejected += 1
         self._queue_replies(self.connection.answer(exchange, reply))
