--- a/ladderhub/cli/lab.py
+++ b/ladderhub/cli/lab.py
@@ -34,7 +34,7 @@
     click.echo(
         f"{outcome.submitted} submitted, {outcome.acknowledged} acknowledged, {unanswered} not told by qstat"
     )
-    sys.exit(0 if outcome.verdict.good() and not outcome.verdict.unread else 1)
+    sys.exit(0 if outcome.verdict.is_good() and not outcome.verdict.parse_errors else 1)
 
 
 _SEED = click.option("--seed", default=1, show_default=True)
@@ -255,7 +255,7 @@
     for line in got.verdict.lines():
         click.echo(line)
     click.echo("the two agree" if got.agree else "the two do NOT agree")
-    sys.exit(0 if got.agree and got.verdict.good() else 1)
+    sys.exit(0 if got.agree and got.verdict.is_good() else 1)
 
 
 @lab.command()
--- a/ladderhub/lab/auditor/judge.py
+++ b/ladderhub/lab/auditor/judge.py
@@ -30,7 +30,7 @@
 
     def __init__(self, seen: RecordingReader, rules: AuditRules) -> None:
         self._seen, self._rules = seen, rules
-        self._verdict = Verdict(taken=len(seen.jobs), unread=seen.unread)
+        self._verdict = Verdict(accepted=len(seen.jobs), parse_errors=seen.parse_errors)
 
     def verdict(self) -> Verdict:
         for job in self._seen.jobs.values():
@@ -55,10 +55,10 @@
         self._checked(Rule.ANSWER)
         first = _first_answer(job)
         limit_ns = self._rules.queues[job.queue].limit_ns
-        start_ns = max(job.taken_ns, job.released_ns)
+        start_ns = max(job.accepted_ns, job.released_ns)
         last_ns = start_ns + limit_ns + ANSWER_SLACK_NS
         # The last acknowledgement of a scheduler may pass the tap just after the note of its end.
-        killed = [at for at in self._seen.killed[job.scheduler] if at >= job.taken_ns - CLOSE_SLACK_NS]
+        killed = [at for at in self._seen.killed[job.scheduler] if at >= job.accepted_ns - CLOSE_SLACK_NS]
         if first is None or (killed and first.at_ns > killed[0]):
             if killed and killed[0] < last_ns:
                 self._verdict.lost_with_scheduler += 1
--- a/ladderhub/lab/auditor/model.py
+++ b/ladderhub/lab/auditor/model.py
@@ -97,7 +97,7 @@
     job: str
     scheduler: str
     queue: str
-    taken_ns: int
+    accepted_ns: int
     answers: list[Answer] = field(default_factory=list)  # as clients were told, when they changed
     attempts: list[Attempt] = field(default_factory=list)
     deleted_ns: int = UNKNOWN_NS
@@ -110,12 +110,12 @@
 
     checked: dict[str, int] = field(default_factory=lambda: dict.fromkeys(RULES, 0))
     breaches: dict[str, list[str]] = field(default_factory=lambda: {rule: [] for rule in RULES})
-    taken: int = 0
+    accepted: int = 0
     lost_with_scheduler: int = 0
     answers: dict[str, int] = field(default_factory=dict)
-    unread: list[str] = field(default_factory=list)
+    parse_errors: list[str] = field(default_factory=list)
 
-    def good(self) -> bool:
+    def is_good(self) -> bool:
         return not any(self.breaches.values())
 
     def lines(self) -> list[str]:
@@ -127,6 +127,6 @@
             lines += [f"    {breach}" for breach in breaches[:MAX_BREACHES_SHOWN]]
         answers = ", ".join(f"{count} {word}" for word, count in sorted(self.answers.items()))
         lines.append(
-            f"{self.taken} jobs taken: {answers}; {self.lost_with_scheduler} went with a killed scheduler"
+            f"{self.accepted} jobs taken: {answers}; {self.lost_with_scheduler} went with a killed scheduler"
         )
         return lines
--- a/ladderhub/lab/auditor/reader.py
+++ b/ladderhub/lab/auditor/reader.py
@@ -25,7 +25,7 @@
         self.notices: dict[tuple[str, str], list[NodeNotice]] = defaultdict(list)  # by scheduler and node
         self.racks: dict[str, str] = {}  # by node
         self.killed: dict[str, list[int]] = defaultdict(list)  # when, by scheduler
-        self.unread: list[str] = []
+        self.parse_errors: list[str] = []
         self.last_ns = 0
         self._entries: dict[str, dict[str, Entry]] = defaultdict(dict)  # the list, as each scheduler has it
         # By connection:
@@ -41,16 +41,16 @@
         kind, _, name = record.channel.partition(":")
         if kind == "note":
             self._on_note(record)
-        elif record.way == "X":
+        elif record.direction == "X":
             self._on_closed(record)
         elif kind == "list":
-            if record.way == "<":
+            if record.direction == "<":
                 self._on_list(record, name)
-        elif record.way in "<>":
+        elif record.direction in "<>":
             try:
                 self._on_batch_bytes(record, kind, name)
             except DisError as fault:
-                self.unread.append(f"{record.channel} connection {record.connection}: {fault}")
+                self.parse_errors.append(f"{record.channel} connection {record.connection}: {fault}")
 
     def _on_note(self, record: Record) -> None:
         word, _, scheduler = record.data.decode().partition(" ")
@@ -71,7 +71,7 @@
     def _on_batch_bytes(self, record: Record, kind: str, name: str) -> None:
         connection = record.connection
         unanswered = self._unanswered[connection]
-        if record.way == ">":
+        if record.direction == ">":
             requests = self._requests.setdefault(connection, RequestParser())
             requests.feed(record.data)
             while (request := requests.next()) is not None:
--- a/ladderhub/lab/day.py
+++ b/ladderhub/lab/day.py
@@ -306,7 +306,7 @@
         """Every connection to the nodes and the directory is cut."""
         assert self.fleet.tap is not None
         for channel in ("node:", "list:"):
-            self.fleet.tap.reset(channel)
+            self.fleet.tap.abort_connections(channel)
 
     def do_burst(self, fault: Fault) -> None:
         self.rate *= fault.by
--- a/ladderhub/lab/flaky.py
+++ b/ladderhub/lab/flaky.py
@@ -47,9 +47,9 @@
         self.stalled = True
         for connection in self.connections:
             connection.stream.pause(True)
-        self.loop.call_later(span_ns, self.wake)
+        self.loop.call_later(span_ns, self.resume)
 
-    def wake(self) -> None:
+    def resume(self) -> None:
         self.stalled = False
         for connection in list(self.connections):
             connection.stream.pause(False)
--- a/ladderhub/lab/fleet.py
+++ b/ladderhub/lab/fleet.py
@@ -100,7 +100,7 @@
             public = ("127.0.0.1", port)
             name = f"node-{at + 1:02d}"
             if self.tap is not None:
-                public = self.tap.add(f"node:{name}", public)
+                public = self.tap.add_listener(f"node:{name}", public)
             self._places[name] = (kind, f"rack-{at % racks + 1}", port, public)
         self.wanted_schedulers = schedulers
 
@@ -167,8 +167,8 @@
         public = ("127.0.0.1", port)
         directory = self.directory.address
         if self.tap is not None:
-            public = self.tap.add(f"sched:{name}", public)
-            directory = self.tap.add(f"list:{name}", directory)
+            public = self.tap.add_listener(f"sched:{name}", public)
+            directory = self.tap.add_listener(f"list:{name}", directory)
         folder = self.folder / name
         folder.mkdir(parents=True, exist_ok=True)
         file = folder / "settings.jsonnet"
--- a/ladderhub/lab/load.py
+++ b/ladderhub/lab/load.py
@@ -361,5 +361,5 @@
     for job in jobs:
         word = told.get(job, "not told")
         by_qstat[word] = by_qstat.get(word, 0) + 1
-    agree = by_qstat == verdict.answers and verdict.taken == len(jobs) and not failed
+    agree = by_qstat == verdict.answers and verdict.accepted == len(jobs) and not failed
     return Submits(len(jobs), len(failed), verdict.answers, by_qstat, agree, verdict)
--- a/ladderhub/lab/rollout_audit.py
+++ b/ladderhub/lab/rollout_audit.py
@@ -34,11 +34,11 @@
 
     checked: dict[str, int] = field(default_factory=lambda: dict.fromkeys(CHECKS, 0))
     breaches: dict[str, list[str]] = field(default_factory=lambda: {check: [] for check in CHECKS})
-    most_down: dict[str, int] = field(default_factory=dict)  # by an update's own hand
-    most_alive: dict[str, int] = field(default_factory=dict)
+    max_down: dict[str, int] = field(default_factory=dict)  # by an update's own hand
+    max_alive: dict[str, int] = field(default_factory=dict)
     versions: dict[str, dict[str, int]] = field(default_factory=dict)
 
-    def good(self) -> bool:
+    def is_good(self) -> bool:
         return not any(self.breaches.values())
 
     def lines(self) -> list[str]:
@@ -48,8 +48,8 @@
             word = f"BROKEN {len(found)} times" if found else "kept"
             lines.append(f"{check:<26} {word:<18} checked {self.checked[check]}")
             lines += [f"    {breach}" for breach in found[:5]]
-        for name, most in sorted(self.most_alive.items()):
-            down = self.most_down.get(name, 0)
+        for name, most in sorted(self.max_alive.items()):
+            down = self.max_down.get(name, 0)
             lines.append(f"{name}: at most {down} down by a stop, {most} alive; offers {self.versions[name]}")
         return lines
 
@@ -66,7 +66,7 @@
         for attempt in self._attempts:
             versions[attempt.version] = versions.get(attempt.version, 0) + 1
         self._verdict.versions[self._name] = versions
-        self._verdict.most_alive[self._name] = self._verdict.most_down[self._name] = 0
+        self._verdict.max_alive[self._name] = self._verdict.max_down[self._name] = 0
         self._surplus()
         self._down()
         if self._limits.unsafe:
@@ -85,7 +85,7 @@
             # A job that is placed again is one copy, whatever became of its earlier run.
             alive = len({a.job for a in open_ones})
             self._verdict.checked[CHECKS[1]] += 1
-            self._verdict.most_alive[self._name] = max(self._verdict.most_alive[self._name], alive)
+            self._verdict.max_alive[self._name] = max(self._verdict.max_alive[self._name], alive)
             if alive > most:
                 self._breach(1, f"{alive} copies alive as {attempt.job} was sent, {most} are allowed")
 
@@ -119,7 +119,7 @@
             if attempt.slot in healthy:
                 continue  # a new copy has taken its place already
             down = self._limits.count - len(healthy)
-            self._verdict.most_down[self._name] = max(self._verdict.most_down[self._name], down)
+            self._verdict.max_down[self._name] = max(self._verdict.max_down[self._name], down)
             if down > self._limits.down:
                 self._breach(
                     0, f"{down} down after {attempt.job} was told to end, {self._limits.down} allowed"
--- a/ladderhub/lab/tap.py
+++ b/ladderhub/lab/tap.py
@@ -27,7 +27,7 @@
     at_ns: int
     connection: int
     channel: str
-    way: str
+    direction: str
     data: bytes
 
 
@@ -41,7 +41,7 @@
         self.pairs: set[_Pair] = set()
         self._count = 0
 
-    def add(self, channel: str, target: Address) -> Address:
+    def add_listener(self, channel: str, target: Address) -> Address:
         """Listen for `target`; gives the address to be used in its stead."""
         listener = Listener(self.loop, (own_host(), 0), lambda sock: self._accept(channel, target, sock))
         self._listeners.append(listener)
@@ -51,13 +51,13 @@
         self._count += 1
         self.pairs.add(_Pair(self, self._count, channel, target, sock))
 
-    def write(self, connection: int, channel: str, way: str, data: bytes = b"") -> None:
+    def write(self, connection: int, channel: str, direction: str, data: bytes = b"") -> None:
         if not self._file.closed:
             name = channel.encode()
-            head = _HEAD.pack(self.loop.now_ns(), connection, len(name), way.encode(), len(data))
+            head = _HEAD.pack(self.loop.now_ns(), connection, len(name), direction.encode(), len(data))
             self._file.write(head + name + data)
 
-    def reset(self, channel: str) -> None:
+    def abort_connections(self, channel: str) -> None:
         """Cut every connection of a channel (all whose name begins so)."""
         for pair in list(self.pairs):
             if pair.channel.startswith(channel):
@@ -104,8 +104,8 @@
         while head := file.read(_HEAD.size):
             if len(head) < _HEAD.size:
                 raise ValueError(f"{path}: ends inside a record")
-            at, connection, name, way, size = _HEAD.unpack(head)
+            at, connection, name, direction, size = _HEAD.unpack(head)
             channel, data = file.read(name).decode(), file.read(size)
             if len(data) < size:
                 raise ValueError(f"{path}: ends inside a record")
-            yield Record(at, connection, channel, way.decode(), data)
+            yield Record(at, connection, channel, direction.decode(), data)
--- a/ladderhub/lab/updates.py
+++ b/ladderhub/lab/updates.py
@@ -44,7 +44,7 @@
     bound_s: float  # what limits, starts and health time allow at best
 
     def good(self) -> bool:
-        return self.rules.good() and self.limits.good() and len(self.ended) == len(SERVICES)
+        return self.rules.is_good() and self.limits.is_good() and len(self.ended) == len(SERVICES)
 
 
 def _roomy(settings: dict[str, Any]) -> None:
--- a/ladderhub/server/peers.py
+++ b/ladderhub/server/peers.py
@@ -72,7 +72,7 @@
         self._transport: PeerTransport | None = None
         self._closed = False
         self._add_gauges()
-        context.status_sources.append(self.status_rows)
+        context.status_sources.append(self.build_status_rows)
 
     def _member_settings(self) -> MemberSettings:
         settings, state = self._settings, self._state_file
@@ -117,14 +117,14 @@
         assert self._transport is not None
         return self._transport
 
-    def member_names(self) -> list[str]:
+    def get_member_names(self) -> list[str]:
         """The schedulers in the view, this one among them."""
         return sorted(entry.name for entry in self.view.members())
 
-    def status_rows(self) -> list[Attr]:
+    def build_status_rows(self) -> list[Attr]:
         """Rows of the server's status."""
         suspected = set(self.view.get_suspected_names())
-        shown = [f"{name} (suspected)" if name in suspected else name for name in self.member_names()]
+        shown = [f"{name} (suspected)" if name in suspected else name for name in self.get_member_names()]
         return [Attr("members", ", ".join(shown)), Attr("membership", self._state_word())]
 
     def _state_word(self) -> str:
@@ -182,7 +182,7 @@
 
     def _on_tick(self) -> None:
         if self._tell_leases is not None:
-            names = self.member_names()
+            names = self.get_member_names()
             rank = names.index(self._context.name)
             self._tell_leases(MembershipSummary(len(names), rank, self.is_confirmed()))
 
--- a/ladderhub/server/policyrequests.py
+++ b/ladderhub/server/policyrequests.py
@@ -60,7 +60,7 @@
     def _apply(self, request: Request, answer: ReplyCallback) -> None:
         body = request.get("body").encode("utf-8", "surrogateescape")
         author = request.get("author") or request.user
-        members = self._service.member_names()
+        members = self._service.get_member_names()
 
         def on_outcome(outcome: Outcome) -> None:
             answer(_reply([Row(n.OBJ_POLICY, "", outcome_attrs(outcome, members))]))
@@ -103,15 +103,15 @@
 
     def _status_row(self) -> Row:
         status = self._service.revisions.status(self._context.loop.now_ns())
-        attrs = self._service.status_rows()
+        attrs = self._service.build_status_rows()
         if status.active is not None:
             attrs += _header_attrs(status.active)
         return Row(n.OBJ_POLICY, self._context.name, attrs)
 
     def _member_rows(self) -> list[Row]:
         """The newest revision that each other member was heard to know."""
-        now, heads, rows = self._context.loop.now_ns(), self._service.heads(), []
-        for name in self._service.member_names():
+        now, heads, rows = self._context.loop.now_ns(), self._service.get_heads(), []
+        for name in self._service.get_member_names():
             if name == self._context.name:
                 continue
             attrs: list[Attr] = []
--- a/ladderhub/server/revisions.py
+++ b/ladderhub/server/revisions.py
@@ -92,7 +92,7 @@
         self._next_request = 1
         self._logged = record.headers[-1].number if record is not None and record.headers else 0
         self._accepted: Acceptance | None = record.accepted if record is not None else None
-        context.status_sources.append(self.status_rows)
+        context.status_sources.append(self.build_status_rows)
         gauge = context.metrics.add_gauge
         gauge("revision_active", "Number of the revision that is acted by", self._active_number)
         gauge("revision_age_seconds", "Since a majority confirmed it; -1: not in this life", self._age_s)
@@ -145,14 +145,14 @@
         body, author, made_ms = request.body, request.author, request.made_ms
         self._context.log.info("revision", what=what, body=body, author=author, made_ms=made_ms, **more)
 
-    def heads(self) -> dict[str, tuple[Head, int]]:
+    def get_heads(self) -> dict[str, tuple[Head, int]]:
         """By the name of a member: the newest revision that it knew, and when it said so."""
         return self._carrier.heads if self._carrier is not None else {}
 
-    def member_names(self) -> list[str]:
-        return self._peers.member_names()
+    def get_member_names(self) -> list[str]:
+        return self._peers.get_member_names()
 
-    def status_rows(self) -> list[Attr]:
+    def build_status_rows(self) -> list[Attr]:
         """Rows of the server's status."""
         status = self.revisions.status(self._context.loop.now_ns())
         number, digest = self._context.revision.number, self._context.revision.digest
--- a/tests/hard_cases/bed.py
+++ b/tests/hard_cases/bed.py
@@ -24,7 +24,7 @@
     assert world.tap is not None
     world.tap.close()
     verdict = audit(tap.read(world.tap.path), audit_rules(world.settings))
-    assert verdict.good(), verdict.lines()
+    assert verdict.is_good(), verdict.lines()
     assert verdict.checked["no effect twice"]
 
 
--- a/tests/hard_cases/test_cancels.py
+++ b/tests/hard_cases/test_cancels.py
@@ -78,6 +78,6 @@
     world.wait(job, "R")
     world.agents["node-1"].stall(60 * S)
     assert "no word yet from node-1" in world.delete(job).text
-    world.agents["node-1"].wake()
+    world.agents["node-1"].resume()
     assert world.wait(job, "F").get("Exit_status") == "265"
     assert not world.live(job)
--- a/tests/hard_cases/test_nodes.py
+++ b/tests/hard_cases/test_nodes.py
@@ -61,7 +61,7 @@
     row = world.row(job)
     assert row.get("job_state") == "Q" and held.name in row.get("comment")
     assert world.live(job) == [held.name]
-    held.wake()
+    held.resume()
     world.wait_answer(job, "placed")
     assert world.live(job) == [held.name]
     assert_recording_passes(world)
@@ -76,7 +76,7 @@
     row = world.wait_answer(job, "failed")
     assert "may have run at node-1" in row.get("comment")
     # The orphaned run is stopped once its node can be reached.
-    world.agents["node-1"].wake()
+    world.agents["node-1"].resume()
     world.until(lambda: not world.live(job))
     assert world.row(job).get("placement") == "failed"
 
--- a/tests/peers/test_revisions.py
+++ b/tests/peers/test_revisions.py
@@ -100,7 +100,7 @@
 
 def test_status_and_show_tell_what_is_in_force_and_what_others_know(world: World) -> None:
     services = start(world, ["alpha", "beta", "gamma"])
-    world.until(lambda: set(services["gamma"].heads()) == {"alpha", "beta"})
+    world.until(lambda: set(services["gamma"].get_heads()) == {"alpha", "beta"})
     asked, *others = manage(world, n.CMD_LIST).rows
     assert (asked.name, asked.get("number"), asked.get("revision_state")) == ("gamma", "1", "in force")
     assert asked.get("settings_file") == "in force" and float(asked.get("revision_age")) < 30
--- a/tests/server/test_settings_change.py
+++ b/tests/server/test_settings_change.py
@@ -271,7 +271,7 @@
     assert world.tap is not None
     world.tap.close()
     verdict = audit(tap.read(world.tap.path), audit_rules(world.settings))
-    assert verdict.good(), verdict.lines()
+    assert verdict.is_good(), verdict.lines()
 
 
 def test_events_of_one_batch_are_handled_before_events_that_they_cause() -> None:
--- a/tests/test_auditor.py
+++ b/tests/test_auditor.py
@@ -55,8 +55,8 @@
 
 def test_the_recording_itself_is_good(recording: Recording) -> None:
     verdict = judge(*recording)
-    assert verdict.good() and not verdict.unread, verdict.lines()
-    assert verdict.taken == 10 and verdict.answers == {"placed": 10}
+    assert verdict.is_good() and not verdict.parse_errors, verdict.lines()
+    assert verdict.accepted == 10 and verdict.answers == {"placed": 10}
     assert all(verdict.checked[rule] for rule in RULES[:3]) and verdict.checked[RULES[4]]
 
 
@@ -64,7 +64,7 @@
     """Requests to nodes of one kind, each alone in its record as nodes are written to step by step."""
     found = []
     for record in records:
-        if record.channel.startswith("node:") and record.way == ">":
+        if record.channel.startswith("node:") and record.direction == ">":
             parser = RequestParser()
             parser.feed(record.data)
             while (request := parser.next()) is not None:
@@ -103,7 +103,7 @@
     job = request.job
     kept = [r for r in records if r.connection != sent.connection]
     doctored = [
-        replace(r, data=without(r.data, job)) if r.channel.startswith("sched:") and r.way == "<" else r
+        replace(r, data=without(r.data, job)) if r.channel.startswith("sched:") and r.direction == "<" else r
         for r in kept
     ]  # fmt: skip
     verdict = judge(doctored, rules)
@@ -128,7 +128,7 @@
     job = offer_of(records, "batch")[1].job
     for record in records:
         data = record.data
-        if record.channel.startswith("sched:") and record.way == "<" and job.encode() in data:
+        if record.channel.startswith("sched:") and record.direction == "<" and job.encode() in data:
             parser, data = ReplyParser(), b""
             parser.feed(record.data)
             while (reply := parser.next()) is not None:
@@ -161,7 +161,7 @@
     node = sent.channel.partition(":")[2]
     doctored: list[Record] = []
     for record in records:
-        if record.channel.startswith("list:") and record.way == "<":
+        if record.channel.startswith("list:") and record.direction == "<":
             data = b""
             for message in MessageDecoder().feed(record.data):
                 assert isinstance(message, Listed)
@@ -177,7 +177,7 @@
             record = replace(record, data=data)
         doctored.append(record)
     # The drain is told at once; the offer comes when it came.
-    first = next(r for r in doctored if r.channel.startswith("list:") and r.way == "<")
+    first = next(r for r in doctored if r.channel.startswith("list:") and r.direction == "<")
     assert sent.at_ns - first.at_ns > rules.drain_grace_ns
     assert broken(judge(doctored, rules)) == {RULES[2]}
 
@@ -185,7 +185,7 @@
 def test_rule_4_more_offers_than_a_cold_node_bears(recording: Recording) -> None:
     records, rules = recording
     _, request = offer_of(records, "batch")
-    first = next(r for r in records if r.channel.startswith("list:") and r.way == "<")
+    first = next(r for r in records if r.channel.startswith("list:") and r.direction == "<")
     parsed = MessageDecoder().feed(first.data)
     assert isinstance(parsed[0], Listed)
     entry = parsed[0].entries[0]
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -57,7 +57,7 @@
     world.tap.close()
     records = list(tap.read(world.tap.path))
     verdict = audit(records, audit_rules(world.settings))
-    assert verdict.good(), verdict.lines()
+    assert verdict.is_good(), verdict.lines()
     return records
 
 
@@ -78,8 +78,8 @@
         "invoicing": ServiceLimits(4, 1, 0, 200 * MS, unsafe=True),
     }
     verdict = audit_updates(records, services)
-    assert verdict.good(), verdict.lines()
-    assert all(verdict.checked[check] for check in CHECKS) and verdict.most_alive == {
+    assert verdict.is_good(), verdict.lines()
+    assert all(verdict.checked[check] for check in CHECKS) and verdict.max_alive == {
         "orders": 7,
         "invoicing": 4,
     }
@@ -87,7 +87,7 @@
     # in the other the nodes' reports of ends are missing.
     stops = [
         (at, record, request) for at, record in enumerate(records)
-        if record.channel.startswith("node:") and record.way == ">"
+        if record.channel.startswith("node:") and record.direction == ">"
         for request in requests_in(record.data) if request.type == n.DELETE_JOB
     ]  # fmt: skip
     early = list(records)
@@ -100,14 +100,17 @@
         for record in records
         if not any(r.type == n.JOB_OBIT for r in requests_in(record.data, record))
     ]
-    no_ends = [record for record in no_ends if not (record.channel.startswith("node:") and record.way == "<"
-              and record.connection in {stop[1].connection for stop in stops})]  # fmt: skip
+    no_ends = [
+        record for record in no_ends
+        if not (record.channel.startswith("node:") and record.direction == "<"
+                and record.connection in {stop[1].connection for stop in stops})
+    ]  # fmt: skip
     faulty = audit_updates(no_ends, services)
     assert faulty.breaches["surplus"] and faulty.breaches["no copy twice"]
 
 
 def requests_in(data: bytes, record: Record | None = None) -> list[Request]:
-    if record is not None and not (record.channel.startswith("sched:") and record.way == ">"):
+    if record is not None and not (record.channel.startswith("sched:") and record.direction == ">"):
         return []
     parser = RequestParser()
     parser.feed(data)
@@ -134,7 +137,7 @@
     records = read_audited_records(world)
     services = {"invoicing": ServiceLimits(8, 1, 0, 200 * MS, unsafe=True)}
     verdict = audit_updates(records, services)
-    assert verdict.good(), verdict.lines()
+    assert verdict.is_good(), verdict.lines()
 
 
 def test_wrong_requests_on_services_touch_nothing(world: World) -> None:
--- a/tests/world.py
+++ b/tests/world.py
@@ -66,7 +66,7 @@
         if name not in self._ports:
             port = free_port()
             public = ("127.0.0.1", port)
-            self._ports[name] = (port, self.tap.add(f"node:{name}", public) if self.tap else public)
+            self._ports[name] = (port, self.tap.add_listener(f"node:{name}", public) if self.tap else public)
         port, public = self._ports[name]
         rules, size = self.settings["nodes"], self.settings["kinds"][kind]
         agent = FlakyAgent(
@@ -96,8 +96,8 @@
         port = port or free_port()
         public = ("127.0.0.1", port)
         if self.tap is not None:
-            directory = self.tap.add(f"list:{name}", directory)
-            public = self.tap.add(f"sched:{name}", public)
+            directory = self.tap.add_listener(f"list:{name}", directory)
+            public = self.tap.add_listener(f"sched:{name}", public)
         value = self.settings | {
             "server": name, "listen": f"127.0.0.1:{port}", "advertise": "{}:{}".format(*public),
             "directory": "{}:{}".format(*directory), "spool": str(self.folder / name),
