--- a/ladderhub/cli/lab.py
+++ b/ladderhub/cli/lab.py
@@ -34,7 +34,7 @@
     click.echo(
         f"{outcome.submitted} submitted, {outcome.acknowledged} acknowledged, {unanswered} not told by qstat"
     )
-    sys.exit(0 if outcome.verdict.good() and not outcome.verdict.unread else 1)
+    sys.exit(0 if outcome.verdict.is_good() and not outcome.verdict.parse_errors else 1)
 
 
 _SEED = click.option("--seed", default=1, show_default=True)
@@ -259,7 +259,7 @@
     for line in result.verdict.lines():
         click.echo(line)
     click.echo("the two agree" if result.agree else "the two do NOT agree")
-    sys.exit(0 if result.agree and result.verdict.good() else 1)
+    sys.exit(0 if result.agree and result.verdict.is_good() else 1)
 
 
 @lab.command()
