--- a/benchmarks/gangs.py
+++ b/benchmarks/gangs.py
@@ -18,7 +18,7 @@
 from load_of_site import Load, add_figures, classes, percentile
 
 from ladderhub.lab.emulator.net import S
-from ladderhub.lab.emulator.placement import Record, Site, SiteSettings, Work
+from ladderhub.lab.emulator.placement import JobRecord, Site, SiteSettings, TaskSpec
 
 Z_95 = 1.96
 DEADLINE_S = 6.0
@@ -56,7 +56,7 @@
     load.run(SETTLING_S)
     seen = Seen()
     for number in range(args.gangs):
-        seen.full.append(site.full())
+        seen.full.append(site.get_utilization())
         gang = send_gang(site, load, number, size, cores)
         while is_open(gang):
             load.run(STEP_S)
@@ -70,15 +70,15 @@
     return seen
 
 
-def send_gang(site: Site, load: Load, number: int, size: int, cores: float) -> list[Record]:
+def send_gang(site: Site, load: Load, number: int, size: int, cores: float) -> list[JobRecord]:
     """All of a gang comes to one scheduler at once."""
     life_ns = 2 * site.settings.limit_ns
-    work = Work(ORDINARY, 0, f"gang-{number}", cores, 2 * cores, life_ns, round(DEADLINE_S * S))
+    work = TaskSpec(ORDINARY, 0, f"gang-{number}", cores, 2 * cores, life_ns, round(DEADLINE_S * S))
     place = load.random.choice(site.schedulers)
     return [site.ask(place, work) for _ in range(size)]
 
 
-def is_open(gang: list[Record]) -> bool:
+def is_open(gang: list[JobRecord]) -> bool:
     """Whether any job of it neither runs nor was turned away for good."""
     return any(record.start_ns < 0 and not record.refused for record in gang)
 
--- a/benchmarks/load_of_site.py
+++ b/benchmarks/load_of_site.py
@@ -13,7 +13,7 @@
 
 from ladderhub import interface as api
 from ladderhub.lab.emulator.net import MS, S
-from ladderhub.lab.emulator.placement import Site, Work
+from ladderhub.lab.emulator.placement import Site, TaskSpec
 
 PLAN = Path(__file__).parents[1] / "ladderhub" / "lab" / "scale" / "plan.jsonnet"
 URGENT, ORDINARY = 0, 1
@@ -99,7 +99,7 @@
     def __post_init__(self) -> None:
         self.random = random.Random(self.seed)
 
-    def work(self) -> Work:
+    def work(self) -> TaskSpec:
         dice = self.random
         if self.weights:
             team = dice.choices(range(self.teams), cum_weights=self.weights)[0]
@@ -109,7 +109,9 @@
         service = f"t{team}-{dice.randrange(max(1, self.services // self.teams))}"
         cores = dice.choices(SIZES, SIZE_WEIGHTS)[0]
         life_ns = round(dice.expovariate(1 / self.life_s) * S)
-        return Work(klass, team, service, cores, cores * MEMORY_A_CORE, life_ns, round(self.deadline_s * S))
+        return TaskSpec(
+            klass, team, service, cores, cores * MEMORY_A_CORE, life_ns, round(self.deadline_s * S)
+        )
 
     def ask(self) -> None:
         self.site.ask(self.random.choice(self.site.schedulers), self.work())
@@ -120,7 +122,7 @@
         ended = 1 - math.exp(-FILLING_S / self.life_s)
         tasks = round(running * FILLING_S / self.life_s / ended)
         for at in range(tasks):
-            net.at(net.now + round(FILLING_S * S * at / tasks), self.ask)
+            net.call_at(net.now + round(FILLING_S * S * at / tasks), self.ask)
         net.run(net.now + round(FILLING_S * S))
 
     def run(self, seconds: float) -> None:
@@ -131,7 +133,7 @@
             at += round(self.random.expovariate(self.rate) * S)
             if at >= end:
                 break
-            net.at(at, self.ask)
+            net.call_at(at, self.ask)
         net.run(end)
 
 
--- a/benchmarks/losses.py
+++ b/benchmarks/losses.py
@@ -29,9 +29,9 @@
 from ladderhub.directory.wire import Entry, MessageDecoder, Listed, Register, Room, Watch, encode
 from ladderhub.lab.client import Submission, attributes
 from ladderhub.lab.emulator.net import MS, Faults, S
-from ladderhub.lab.emulator.membership import Fleet, address_of
+from ladderhub.lab.emulator.membership import Fleet, get_address
 from ladderhub.lab.fleet import Fleet as ProcessFleet
-from ladderhub.lab.mesh.judge import uses
+from ladderhub.lab.mesh.judge import find_lease_uses
 from ladderhub.loop import Loop, Stream
 from ladderhub.loop.stream import connect
 from ladderhub.node.directory_link import RECONNECT_NS
@@ -93,7 +93,7 @@
 
     def cut(self, lasts_s: float) -> Loss:
         """No datagram goes between regions."""
-        regions = {address_of(at): self.region(at) for at in range(self.fleet.count)}
+        regions = {get_address(at): self.region(at) for at in range(self.fleet.count)}
 
         def begin() -> None:
             self.fleet.net.faults = Faults(cut=lambda a, b: regions[a] != regions[b])
@@ -141,7 +141,7 @@
 
 
 def samples(play: Play, begun_s: float, until_s: float) -> list[Seen]:
-    spans = uses(play.fleet.rows)
+    spans = find_lease_uses(play.fleet.rows)
     found = []
     at = begun_s
     while at < until_s:
--- a/benchmarks/rolling_restart.py
+++ b/benchmarks/rolling_restart.py
@@ -104,7 +104,7 @@
         """Seconds from the first SIGTERM until all run by the changed file."""
         begun = self.loop.now_ns()
         for slot, scheduler in enumerate(self.fleet.schedulers.values()):
-            self.mesh.do(Step(0, "leave", slot))
+            self.mesh.execute_step(Step(0, "leave", slot))
             old = scheduler.process
             assert old is not None
             if not self.fleet.run_until(partial(_is_over, old), RESTART_MOST_NS):
@@ -112,7 +112,7 @@
             settings = json.loads(scheduler.file.read_text())
             settings["queues"]["web"]["aim"] = "700ms"
             scheduler.file.write_text(json.dumps(settings))
-            self.mesh.do(Step(0, "start", slot))
+            self.mesh.execute_step(Step(0, "start", slot))
             if not self.fleet.run_until(partial(self.fleet.is_up, scheduler.name), RESTART_MOST_NS):
                 raise RuntimeError(f"{scheduler.name} did not come up again")
             self.in_force.append((self.loop.now_ns() - begun) / S)
--- a/benchmarks/teams.py
+++ b/benchmarks/teams.py
@@ -21,7 +21,7 @@
 
 from ladderhub import interface as api
 from ladderhub.lab.emulator.net import S
-from ladderhub.lab.emulator.placement import Record, Site, SiteSettings
+from ladderhub.lab.emulator.placement import JobRecord, Site, SiteSettings
 
 SHARES = (0, 1 / 8, 1 / 4, 1 / 2, 1)  # of the plan's teams; the first is one team, the last is predicted
 
@@ -62,16 +62,17 @@
     load = load_on(args, site, teams, times, args.seed)
     load.fill(round(args.running))
     load.run(SETTLING_S)
-    before = [(place.spent.total_ns(), place.spent.count["TaskAsked"]) for place in site.schedulers]
+    before = [(place.spent.get_total_ns(), place.spent.count["TaskAsked"]) for place in site.schedulers]
     sweeps = [(place.spent.ns["Sweep"], place.spent.count["Sweep"]) for place in site.schedulers]
     load.run(args.seconds)
-    spent = sum(p.spent.total_ns() - b[0] for p, b in zip(site.schedulers, before, strict=True))
+    spent = sum(p.spent.get_total_ns() - b[0] for p, b in zip(site.schedulers, before, strict=True))
     asked = sum(p.spent.count["TaskAsked"] - b[1] for p, b in zip(site.schedulers, before, strict=True))
     sweep_ns = sum(p.spent.ns["Sweep"] - b[0] for p, b in zip(site.schedulers, sweeps, strict=True))
     swept = sum(p.spent.count["Sweep"] - b[1] for p, b in zip(site.schedulers, sweeps, strict=True))
     return Cost(
         teams, spent / asked / 1000, sweep_ns / swept / 1000 if swept else 0.0,
-        swept / args.seconds / len(site.schedulers), deep_size(site.schedulers[0].module) / 1000, site.full(),
+        swept / args.seconds / len(site.schedulers), deep_size(site.schedulers[0].module) / 1000,
+        site.get_utilization(),
     )  # fmt: skip
 
 
@@ -110,7 +111,7 @@
 # --- urgent -----------------------------------------------------------------------------------------------
 
 
-def tell(name: str, records: list[Record], within_s: float) -> None:
+def tell(name: str, records: list[JobRecord], within_s: float) -> None:
     starts = [record.start_ns / S for record in records if record.start_ns >= 0]
     if not records:
         return
@@ -133,10 +134,10 @@
         load.fill(round(args.running))
         load.run(SETTLING_S)
         first = len(site.records)
-        spent = [place.spent.total_ns() for place in site.schedulers]
+        spent = [place.spent.get_total_ns() for place in site.schedulers]
         load.run(args.seconds)
         last = len(site.records)
-        used = [place.spent.total_ns() - was for place, was in zip(site.schedulers, spent, strict=True)]
+        used = [place.spent.get_total_ns() - was for place, was in zip(site.schedulers, spent, strict=True)]
         load.run(
             site.settings.limit_ns / S if times > 1 else SETTLING_S
         )  # what was asked last has its answer
@@ -144,16 +145,16 @@
         greedy = max(1, round(args.greedy * teams))
         print(
             f"{times:g} times the peak, seed {args.seed}, {teams} teams, {args.seconds:g} s simulated; "
-            f"module {'charged' if args.charged else 'not charged'}; nodes {site.full():.2f} full; module "
-            f"{max(used) / S / args.seconds:.2f} of a core (most of {len(used)}); longest wait of an event "
-            f"{max(place.spent.worst_wait_ns for place in site.schedulers) / S:.2f} s"
+            f"module {'charged' if args.charged else 'not charged'}; nodes {site.get_utilization():.2f} full"
+            f"; module {max(used) / S / args.seconds:.2f} of a core (most of {len(used)}); longest wait "
+            f"of an event {max(place.spent.max_wait_ns for place in site.schedulers) / S:.2f} s"
         )
         for name, klass in (("urgent", URGENT), ("ordinary", ORDINARY)):
-            of_class = [record for record in seen if record.work.klass == klass]
+            of_class = [record for record in seen if record.spec.klass == klass]
             tell(f"{name}, all teams", of_class, args.within)
             if times > 1:
-                inside = [record for record in of_class if record.work.tenant >= greedy]
-                above = [record for record in of_class if record.work.tenant < greedy]
+                inside = [record for record in of_class if record.spec.tenant >= greedy]
+                above = [record for record in of_class if record.spec.tenant < greedy]
                 tell(f"{name}, teams within quota", inside, args.within)
                 tell(f"{name}, teams above quota", above, args.within)
 
--- a/ladderhub/cli/lab.py
+++ b/ladderhub/cli/lab.py
@@ -81,19 +81,19 @@
 ) -> None:
     """Play the pure modules of many schedulers in simulated time, with loss, pauses and crashes: `views`, or
     `revisions` of the configuration at a rate, and ten changes within the last second."""
-    from ladderhub.lab.emulator.membership import Verdict, hour
+    from ladderhub.lab.emulator.membership import Verdict, simulate_membership
     from ladderhub.lab.emulator.revision_judge import RevisionVerdict
-    from ladderhub.lab.emulator.revisions import changes
+    from ladderhub.lab.emulator.revisions import simulate_changes
 
     verdict: Verdict | RevisionVerdict
     if what == "views":
-        verdict = hour(schedulers, seed, seconds or 3600, loss, seats)
+        verdict = simulate_membership(schedulers, seed, seconds or 3600, loss, seats)
     else:
-        verdict = changes(schedulers, seed, seconds or 60, rate, loss, calm)
+        verdict = simulate_changes(schedulers, seed, seconds or 60, rate, loss, calm)
     for line in verdict.lines():
         click.echo(line)
-    click.echo("judged good" if verdict.good() else "judged bad")
-    sys.exit(0 if verdict.good() else 1)
+    click.echo("judged good" if verdict.is_good() else "judged bad")
+    sys.exit(0 if verdict.is_good() else 1)
 
 
 @lab.command()
@@ -116,13 +116,13 @@
     for name, found in _searches(what, depth, faults, states, schedules, seed):
         for line in found.lines():
             click.echo(f"{name}: {line}")
-        broken = broken or bool(found.broken)
+        broken = broken or bool(found.violation)
     click.echo("judged bad" if broken else "judged good")
     sys.exit(1 if broken else 0)
 
 
 class _Found(Protocol):
-    broken: str
+    violation: str
 
     def lines(self) -> Iterator[str]: ...
 
@@ -134,16 +134,16 @@
     if what == "seats":
         from ladderhub.lab.checker import leases
 
-        yield "exhaustive", leases.exhaustive(depth, faults=faults)
-        yield "random", leases.at_random(schedules, seed)
+        yield "exhaustive", leases.check_exhaustively(depth, faults=faults)
+        yield "random", leases.check_randomly(schedules, seed)
         return
     from ladderhub.lab.checker import ballots
     from ladderhub.lab.checker import schedules as whole
 
-    for bounds in ballots.searches(states):
-        yield f"exhaustive, {bounds}", ballots.exhaustive(bounds)
-    yield "random ballots", ballots.at_random(schedules, seed)
-    yield "random, whole schedulers", whole.at_random(schedules // 50, seed)
+    for bounds in ballots.get_search_bounds(states):
+        yield f"exhaustive, {bounds}", ballots.check_exhaustively(bounds)
+    yield "random ballots", ballots.check_randomly(schedules, seed)
+    yield "random, whole schedulers", whole.check_randomly(schedules // 50, seed)
 
 
 @lab.command()
@@ -157,22 +157,22 @@
     the days `changes` and `few-changes` the revisions of the configuration."""
     import tempfile
 
-    from ladderhub.lab.mesh.change_days import CHANGE_DAYS, draw_changes
+    from ladderhub.lab.mesh.change_days import CHANGE_DAYS, draw_change_day
     from ladderhub.lab.mesh.changes import run_changes
-    from ladderhub.lab.mesh.days import DAYS, draw
+    from ladderhub.lab.mesh.days import DAYS, draw_day
     from ladderhub.lab.mesh.fleet import run_day
     from ladderhub.lab.mesh.judge import Verdict
     from ladderhub.lab.mesh.revision_judge import RevisionVerdict
 
     try:
         if name in CHANGE_DAYS:
-            days = [draw_changes(name, schedulers, seed)]
+            days = [draw_change_day(name, schedulers, seed)]
         else:
-            days = [draw(each, schedulers, seed) for each in (DAYS if name == "all" else [name])]
+            days = [draw_day(each, schedulers, seed) for each in (DAYS if name == "all" else [name])]
     except ValueError as fault:
         raise click.UsageError(str(fault)) from None
     bad = []
-    for day in (each for each in days if each.real):
+    for day in (each for each in days if each.can_run_processes):
         with tempfile.TemporaryDirectory() as scratch:
             place = (folder / day.name) if folder is not None else Path(scratch)
             place.mkdir(parents=True, exist_ok=True)
@@ -181,10 +181,10 @@
                 if name in CHANGE_DAYS
                 else run_day(day, place, schedulers, seed)
             )
-        click.echo(f"{day.name}: {day.about}; {schedulers} schedulers, seed {seed}")
+        click.echo(f"{day.name}: {day.description}; {schedulers} schedulers, seed {seed}")
         for line in verdict.lines():
             click.echo(f"  {line}")
-        if not verdict.good():
+        if not verdict.is_good():
             bad.append(day.name)
     click.echo(f"judged bad: {', '.join(bad)}" if bad else "all days judged good")
     sys.exit(1 if bad else 0)
--- a/ladderhub/lab/checker/ballot_processes.py
+++ b/ladderhub/lab/checker/ballot_processes.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True)
-class Parts:
+class CheckedClasses:
     """The classes that are checked."""
 
     ledger: type[Ledger] = Ledger
@@ -55,11 +55,13 @@
 class Proposing:
     """One life of an operator's process: its change goes on top of whatever is current."""
 
-    def __init__(self, parts: Parts, bounds: Bounds, address: str, life: int, begun: int = 0) -> None:
-        self.parts, self.bounds, self.life, self.begun = parts, bounds, life, begun
+    def __init__(
+        self, classes: CheckedClasses, bounds: Bounds, address: str, life: int, begun: int = 0
+    ) -> None:
+        self.classes, self.bounds, self.life, self.begun = classes, bounds, life, begun
         self.ballots = bounds.ballots[OPERATORS.index(address)]
         self.context = Context(RevisionSettings(address, life, address, VOTERS, b""), life)
-        self.ledger = parts.ledger(self.context, None)
+        self.ledger = classes.ledger(self.context, None)
         self._rounds = 0  # begun in this life
         self.decision: PaxosInstance | None = self._next()
 
@@ -76,7 +78,7 @@
             f"change {number}, life {self.life}",
             body_digest(name.encode()),
         )
-        return self.parts.decision(self.context, number, own, 1)
+        return self.classes.decision(self.context, number, own, 1)
 
     def can_begin(self) -> bool:
         open_yet = self.decision is not None and self.decision.chosen is None
--- a/ladderhub/lab/checker/ballots.py
+++ b/ladderhub/lab/checker/ballots.py
@@ -24,7 +24,7 @@
 from msgspec.structs import replace
 
 from ladderhub.lab.checker.ballot_processes import (
-    OPERATORS, PROCESSES, VOTERS, Bounds, Parts, Proposing, VoterState,
+    OPERATORS, PROCESSES, VOTERS, Bounds, CheckedClasses, Proposing, VoterState,
 )  # fmt: skip
 from ladderhub.revision.content import digest_of
 from ladderhub.revision.context import Context
@@ -40,23 +40,23 @@
 
 
 @dataclass
-class Found:
+class SearchResult:
     states: int = 0
     steps: int = 0
-    whole: bool = True  # all states within the bounds were seen
+    is_complete: bool = True  # all states within the bounds were seen
     walks: int = 0  # schedules drawn at random
     seconds: float = 0.0
-    broken: str = ""
+    violation: str = ""
     trace: tuple[str, ...] = ()
     chosen: set[tuple[int, str]] = field(default_factory=set)  # values that were chosen in some schedule
 
     def lines(self) -> Iterator[str]:
-        share = "all of them" if self.whole else "not all"
+        share = "all of them" if self.is_complete else "not all"
         seen = f"{self.walks} schedules" if self.walks else f"{self.states} states within the bounds, {share}"
         yield f"{seen}; {self.steps} steps, {self.seconds:.1f} s"
         yield f"values chosen in some schedule: {len(self.chosen)}"
-        if self.broken:
-            yield f"BROKEN: {self.broken} after"
+        if self.violation:
+            yield f"BROKEN: {self.violation} after"
             yield from self.trace
         else:
             yield "each number had one value, the child of the one before"
@@ -69,9 +69,9 @@
 class Search:
     """All states that can be reached within the bounds."""
 
-    def __init__(self, bounds: Bounds, parts: Parts) -> None:
-        self.bounds, self.parts = bounds, parts
-        self.found = Found()
+    def __init__(self, bounds: Bounds, classes: CheckedClasses) -> None:
+        self.bounds, self.classes = bounds, classes
+        self.found = SearchResult()
         self._messages: list[tuple[str, Any]] = []
         self._message_ids: dict[tuple[str, Any], int] = {}
         self._states: list[Any] = []  # of processes: `VoterState` or `Proposing`
@@ -122,8 +122,8 @@
     def _voter_steps(self, at: int, state: VoterState, message: Any) -> tuple[_Step, ...]:
         address = VOTERS[at]
         context = Context(RevisionSettings(address, 1, address, VOTERS, b""), 1)
-        ledger = self.parts.ledger(context, state.memory)
-        voter = self.parts.voter(context, ledger)
+        ledger = self.classes.ledger(context, state.memory)
+        voter = self.classes.voter(context, ledger)
         if isinstance(message, Prepare):
             voter.on_prepare(message)
         elif isinstance(message, Accept):
@@ -163,19 +163,19 @@
                     steps.append(self._proposer_step(at, process, Proposing.begin))
                 if process.life <= self.bounds.restarts:
                     address = OPERATORS[at - len(VOTERS)]
-                    again = Proposing(self.parts, self.bounds, address, process.life + 1, process.begun)
+                    again = Proposing(self.classes, self.bounds, address, process.life + 1, process.begun)
                     steps.append((self._keep(at, again), ()))
             known = self._own[at, state] = tuple(steps)
         return known
 
     # --- the search -------------------------------------------------------------------------------------
 
-    def run(self) -> Found:
+    def run(self) -> SearchResult:
         begun = time.perf_counter()
         start = self._start()
         came: dict[_State, tuple[_State, str] | None] = {start: None}
         waiting = deque([start])
-        while waiting and not self.found.broken:
+        while waiting and not self.found.violation:
             state = waiting.popleft()
             for following, told in self._after(state):
                 self.found.steps += 1
@@ -183,13 +183,13 @@
                 if after in came:
                     continue
                 if len(came) >= self.bounds.states:
-                    self.found.whole = False
+                    self.found.is_complete = False
                     waiting.clear()
                     break
                 came[after] = (state, told)
                 fault = self._judge(after)
                 if fault:
-                    self.found.broken, self.found.trace = fault, self._trace(came, after)
+                    self.found.violation, self.found.trace = fault, self._trace(came, after)
                     break
                 waiting.append(after)
         self.found.states, self.found.seconds = len(came), time.perf_counter() - begun
@@ -207,14 +207,14 @@
             self.found.steps += 1
             fault = self._judge(state)
             if fault:
-                self.found.broken, self.found.trace = fault, tuple(trace)
+                self.found.violation, self.found.trace = fault, tuple(trace)
                 return
 
     def _start(self) -> _State:
         blank = Record(votes_from=1)
         processes = [self._keep(at, VoterState(blank, blank)) for at in range(len(VOTERS))]
         for at, address in enumerate(OPERATORS):
-            first = Proposing(self.parts, self.bounds, address, 1)
+            first = Proposing(self.classes, self.bounds, address, 1)
             processes.append(self._keep(len(VOTERS) + at, first))
         return tuple(processes), frozenset()
 
@@ -366,7 +366,7 @@
         return ""
 
 
-def searches(states: int) -> tuple[Bounds, ...]:
+def get_search_bounds(states: int) -> tuple[Bounds, ...]:
     """What `ladderhub lab check ballots` searches, each up to so many states."""
     return (
         Bounds(1, (1, 1), 1, states), Bounds(1, (2, 1), 0, states), Bounds(1, (2, 1), 1, states),
@@ -374,16 +374,18 @@
     )  # fmt: skip
 
 
-def exhaustive(bounds: Bounds | None = None, parts: Parts | None = None) -> Found:
+def check_exhaustively(bounds: Bounds | None = None, classes: CheckedClasses | None = None) -> SearchResult:
     """Every schedule within the bounds; stops at the first that breaks."""
-    return Search(bounds or Bounds(), parts or Parts()).run()
+    return Search(bounds or Bounds(), classes or CheckedClasses()).run()
 
 
-def at_random(walks: int, seed: int, bounds: Bounds | None = None, parts: Parts | None = None) -> Found:
+def check_randomly(
+    walks: int, seed: int, bounds: Bounds | None = None, classes: CheckedClasses | None = None
+) -> SearchResult:
     """Schedules drawn from a seed, within wider bounds; stops at the first that breaks."""
-    search = Search(bounds or Bounds(3, (6, 6), 2), parts or Parts())
+    search = Search(bounds or Bounds(3, (6, 6), 2), classes or CheckedClasses())
     rng, begun = random.Random(seed), time.perf_counter()
-    while search.found.walks < walks and not search.found.broken:
+    while search.found.walks < walks and not search.found.violation:
         search.found.walks += 1
         search.walk(rng)
     search.found.seconds = time.perf_counter() - begun
--- a/ladderhub/lab/checker/leases.py
+++ b/ladderhub/lab/checker/leases.py
@@ -23,9 +23,9 @@
     LeaseSettings,
 )
 
-COUNT, SLOTS = 3, 3
+HOST_COUNT, SLOT_COUNT = 3, 3
 LEASE, COLD, WINDOW = 16, 3, 4  # in steps; the module counts offers for WINDOW, a quarter over COLD
-ADDRESSES = tuple(f"h{at}:1" for at in range(COUNT))
+ADDRESSES = tuple(f"h{at}:1" for at in range(HOST_COUNT))
 BACK = (1, 6, LEASE + 3)  # for how many steps messages are held back, or a process is stopped
 PREPARED = LEASE + 8  # steps without faults at first: voters are silent for a lease
 FOLLOWED = LEASE + WINDOW + 6  # steps watched after the last fault
@@ -45,14 +45,14 @@
 MakeHolder = Callable[[LeaseSettings, int, int], LeaseHolder]
 
 
-def faults_of(step: int) -> Iterator[Fault]:
+def enumerate_faults(step: int) -> Iterator[Fault]:
     """Every one thing that may be done in a step."""
-    for who in range(COUNT):
+    for who in range(HOST_COUNT):
         yield Fault(step, "anew", who)
         yield Fault(step, "alone", who, span=LEASE)
         for span in BACK:
             yield Fault(step, "stop", who, span=span)
-        for other in range(COUNT):
+        for other in range(HOST_COUNT):
             if other != who:
                 yield Fault(step, "lose", who, other, 1)
                 for span in BACK:
@@ -76,16 +76,18 @@
 
     def __init__(self, make_holder: MakeHolder = LeaseHolder) -> None:
         self.now, self.make_holder = 0, make_holder
-        self.hosts = [self._host(at, 1) for at in range(COUNT)]
+        self.hosts = [self._host(at, 1) for at in range(HOST_COUNT)]
         self.on_way: list[tuple[int, int, int, MessageReceived]] = []  # when it comes, from, to
-        self.used: dict[int, dict[int, int]] = {slot: {} for slot in range(SLOTS)}  # slot -> host -> last use
-        self.broken: list[str] = []
-        self.idle = self.looked = 0
+        self.used: dict[int, dict[int, int]] = {
+            slot: {} for slot in range(SLOT_COUNT)
+        }  # slot -> host -> last use
+        self.violations: list[str] = []
+        self.idle_slot_steps = self.checked_slot_steps = 0
         self._lose: set[tuple[int, int]] = set()
         self._late: dict[tuple[int, int], int] = {}
 
     def _host(self, at: int, life: int) -> Host:
-        settings = LeaseSettings(f"h{at}", life, ADDRESSES[at], SLOTS, ADDRESSES, LEASE, COLD)
+        settings = LeaseSettings(f"h{at}", life, ADDRESSES[at], SLOT_COUNT, ADDRESSES, LEASE, COLD)
         return Host(self.make_holder(settings, at + 7 * life, self.now), life)
 
     def step(self, faults: list[Fault]) -> None:
@@ -118,11 +120,11 @@
             for _, received in host.waiting:
                 self._carry(at, host, host.leases.handle(self.now, received))
             host.waiting.clear()
-            members, rank = (1, 0) if host.alone_until > self.now else (COUNT, at)
+            members, rank = (1, 0) if host.alone_until > self.now else (HOST_COUNT, at)
             self._carry(at, host, host.leases.handle(self.now, MembershipSummary(members, rank, True)))
             self._use(at, host)
-        self.looked += SLOTS
-        self.idle += SLOTS - sum(self.now in users.values() for users in self.used.values())
+        self.checked_slot_steps += SLOT_COUNT
+        self.idle_slot_steps += SLOT_COUNT - sum(self.now in users.values() for users in self.used.values())
         self.now += 1
 
     def _use(self, at: int, host: Host) -> None:
@@ -132,7 +134,7 @@
         for slot in host.held.slots:
             for other, when in self.used[slot].items():
                 if other != at and self.now - when < WINDOW:
-                    self.broken.append(f"step {self.now}: slot {slot} used by {at}, by {other} at {when}")
+                    self.violations.append(f"step {self.now}: slot {slot} used by {at}, by {other} at {when}")
             self.used[slot][at] = self.now
 
     def _carry(self, at: int, host: Host, actions: list[Action]) -> None:
@@ -154,24 +156,24 @@
     schedules: int = 0
     steps: int = 0
     seconds: float = 0.0
-    broken: str = ""
+    violation: str = ""
     schedule: tuple[Fault, ...] = ()
     idle_share: float = 0.0  # of slots and steps, under the faults played
 
     def lines(self) -> Iterator[str]:
         yield f"{self.schedules} schedules, {self.steps} steps, {self.seconds:.1f} s"
         yield f"slots that nobody could use, of all slots and steps: {100 * self.idle_share:.1f} %"
-        if self.broken:
-            yield f"BROKEN: {self.broken} under {self.schedule}"
+        if self.violation:
+            yield f"BROKEN: {self.violation} under {self.schedule}"
         else:
             yield "no slot had two users within a window"
 
 
-def prepared(make_holder: MakeHolder = LeaseHolder) -> World:
+def create_warm_world(make_holder: MakeHolder = LeaseHolder) -> World:
     world = World(make_holder)
     for _ in range(PREPARED):
         world.step([])
-    world.idle = world.looked = 0
+    world.idle_slot_steps = world.checked_slot_steps = 0
     return world
 
 
@@ -180,13 +182,13 @@
         due = [fault for fault in schedule if fault.step == world.now - PREPARED]
         world.step(due)
         result.steps += 1
-        if world.broken:
-            result.broken, result.schedule = world.broken[0], schedule
+        if world.violations:
+            result.violation, result.schedule = world.violations[0], schedule
             return False
     return True
 
 
-def exhaustive(depth: int, make_holder: MakeHolder = LeaseHolder, faults: int = 2) -> CheckResult:
+def check_exhaustively(depth: int, make_holder: MakeHolder = LeaseHolder, faults: int = 2) -> CheckResult:
     """Every schedule of up to `faults` faults in `depth` steps, one fault a step; stops at the first that
     breaks."""
     result, began = CheckResult(), time.perf_counter()
@@ -197,7 +199,7 @@
         nonlocal idle, looked
         while step < depth:
             if left:
-                for fault in faults_of(step):
+                for fault in enumerate_faults(step):
                     branch = copy.deepcopy(world)
                     further = (*schedule, fault)
                     if not _follow(branch, result, further, 1):
@@ -211,19 +213,19 @@
         last = max((fault.step + fault.span for fault in schedule), default=0)
         if not _follow(world, result, schedule, max(1, min(last, depth + LEASE) + FOLLOWED - depth)):
             return False
-        idle, looked = idle + world.idle, looked + world.looked
+        idle, looked = idle + world.idle_slot_steps, looked + world.checked_slot_steps
         return True
 
-    search(prepared(make_holder), 0, faults, ())
+    search(create_warm_world(make_holder), 0, faults, ())
     result.seconds, result.idle_share = time.perf_counter() - began, idle / max(1, looked)
     return result
 
 
-def at_random(schedules: int, seed: int, make_holder: MakeHolder = LeaseHolder) -> CheckResult:
+def check_randomly(schedules: int, seed: int, make_holder: MakeHolder = LeaseHolder) -> CheckResult:
     """Schedules with many faults, several in a step, drawn from a seed."""
     result, began, rng = CheckResult(), time.perf_counter(), random.Random(seed)
-    start = prepared(make_holder)
-    every = list(faults_of(0))
+    start = create_warm_world(make_holder)
+    every = list(enumerate_faults(0))
     idle = looked = 0
     for _ in range(schedules):
         span, share = rng.randrange(10, 60), rng.choice((0.1, 0.3, 0.8))
@@ -235,6 +237,6 @@
         result.schedules += 1
         if not _follow(world, result, schedule, span + FOLLOWED):
             break
-        idle, looked = idle + world.idle, looked + world.looked
+        idle, looked = idle + world.idle_slot_steps, looked + world.checked_slot_steps
     result.seconds, result.idle_share = time.perf_counter() - began, idle / max(1, looked)
     return result
--- a/ladderhub/lab/checker/schedules.py
+++ b/ladderhub/lab/checker/schedules.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from ladderhub.lab.emulator.net import MS, Faults, S
-from ladderhub.lab.emulator.revisions import Play
+from ladderhub.lab.emulator.revisions import RevisionSimulation
 
 SCHEDULERS, VOTERS = 5, 3
 BEGIN_NS = 5 * S  # a new fleet decides its first revision undisturbed
@@ -21,38 +21,40 @@
 
 
 @dataclass
-class FoundAtRandom:
+class RandomCheckResult:
     schedules: int = 0
     chosen: int = 0  # revisions in all
     seconds: float = 0.0
-    broken: str = ""
+    violation: str = ""
     seed: str = ""  # of the schedule that broke
 
     def lines(self) -> Iterator[str]:
         yield f"{self.schedules} schedules, {self.chosen} revisions chosen, {self.seconds:.1f} s"
-        if self.broken:
-            yield f"BROKEN: {self.broken} in schedule {self.seed}"
+        if self.violation:
+            yield f"BROKEN: {self.violation} in schedule {self.seed}"
         else:
             yield "one order everywhere, nothing acted by that was not chosen, all came together"
 
 
-def play_schedule(seed: str) -> Play:
+def play_schedule(seed: str) -> RevisionSimulation:
     """One schedule, played to its end."""
     drawn = random.Random(seed)
     faults = Faults(
         loss=drawn.choice((0.0, 0.1, 0.3)), doubled=drawn.choice((0.0, 0.2)),
         delay_ns=(MS, drawn.choice((5, 50, 400)) * MS),
     )  # fmt: skip
-    play = Play(SCHEDULERS, drawn.getrandbits(30), faults, VOTERS, body_bytes=drawn.choice((20, 2000)))
+    play = RevisionSimulation(
+        SCHEDULERS, drawn.getrandbits(30), faults, VOTERS, body_bytes=drawn.choice((20, 2000))
+    )
     net = play.net
     net.run(net.now + BEGIN_NS)
     play.begin_count()
     forgetful = drawn.randrange(VOTERS)  # the one voter that may lose its record
     for _ in range(CHANGES):
         when = net.now + drawn.randrange(FAULTS_NS)
-        net.at(when, _apply, play, drawn.randrange(SCHEDULERS), drawn.random() < 0.6)
+        net.call_at(when, _apply, play, drawn.randrange(SCHEDULERS), drawn.random() < 0.6)
     for _ in range(TROUBLES):
-        net.at(net.now + drawn.randrange(FAULTS_NS), _trouble, play, drawn, forgetful)
+        net.call_at(net.now + drawn.randrange(FAULTS_NS), _trouble, play, drawn, forgetful)
     net.run(net.now + FAULTS_NS)
     play.net.faults = Faults(loss=0.05, delay_ns=(MS, 20 * MS))
     net.run(net.now + SETTLE_NS)
@@ -61,13 +63,13 @@
     return play
 
 
-def _apply(play: Play, at: int, on_current: bool) -> None:
+def _apply(play: RevisionSimulation, at: int, on_current: bool) -> None:
     host = play.hosts[at]
     if host.alive and not host.paused:
         play.apply(at, on_current)
 
 
-def _trouble(play: Play, drawn: random.Random, forgetful: int) -> None:
+def _trouble(play: RevisionSimulation, drawn: random.Random, forgetful: int) -> None:
     at, span_ns = drawn.randrange(SCHEDULERS), drawn.randrange(20 * MS, 4 * S)
     what = drawn.choice(("kill", "kill", "pause", "cut", "half"))
     if what == "kill":
@@ -81,22 +83,22 @@
         play.cut({at, (at + 1) % SCHEDULERS}, span_ns)
 
 
-def at_random(schedules: int, seed: int) -> FoundAtRandom:
+def check_randomly(schedules: int, seed: int) -> RandomCheckResult:
     """So many schedules; stops at the first that breaks."""
-    found, begun = FoundAtRandom(), time.perf_counter()
+    found, begun = RandomCheckResult(), time.perf_counter()
     for at in range(schedules):
         name = f"{seed}/{at}"
         play = play_schedule(name)
         verdict = play.close()
         found.schedules += 1
         found.chosen += len(play.judge.chosen)
-        faults = [*verdict.broken]
+        faults = [*verdict.violations]
         if verdict.unanswered:
             faults.append(f"{verdict.unanswered} requests without an answer")
         if verdict.differing:
             faults.append(f"{verdict.differing} schedulers without the last revision")
         if faults:
-            found.broken, found.seed = faults[0], name
+            found.violation, found.seed = faults[0], name
             break
     found.seconds = time.perf_counter() - begun
     return found
--- a/ladderhub/lab/emulator/day.py
+++ b/ladderhub/lab/emulator/day.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from ladderhub.lab.emulator.net import MS, Faults, S
-from ladderhub.lab.emulator.membership import Fleet, Host, address_of
+from ladderhub.lab.emulator.membership import Fleet, Host, get_address
 from ladderhub.lab.mesh.days import Day, Pairs, Step
 from ladderhub.membership.rings import MemberId
 from ladderhub.membership.types import Change, MemberChanged
@@ -19,14 +19,14 @@
 class Outcome:
     day: Day
     false_gone: list[str] = field(default_factory=list)
-    equal_ns: int = -1
-    told: list[tuple[int, str, MemberChanged]] = field(default_factory=list)
+    convergence_ns: int = -1
+    reports: list[tuple[int, str, MemberChanged]] = field(default_factory=list)
 
-    def good(self) -> bool:
-        return not self.false_gone and self.equal_ns >= 0
+    def is_good(self) -> bool:
+        return not self.false_gone and self.convergence_ns >= 0
 
 
-class Play:
+class DaySimulation:
     """One day with an emulated fleet that is settled before it begins."""
 
     def __init__(self, day: Day, count: int, seed: int) -> None:
@@ -45,13 +45,13 @@
         fleet.allowed = self._allowed
         fleet.log.clear()
         for step in self.day.steps:
-            net.at(begun + round(step.at_s * S), self.do, step)
+            net.call_at(begun + round(step.at_s * S), self.execute_step, step)
         net.run(begun + round(self.day.last_s * S) + 100 * MS)
-        outcome = Outcome(self.day, told=fleet.log)
-        outcome.equal_ns = fleet.settle(EQUAL_NS)
+        outcome = Outcome(self.day, reports=fleet.log)
+        outcome.convergence_ns = fleet.settle(EQUAL_NS)
         net.run(net.now + 10 * S)  # nothing may come undone later
         if fleet.differing():
-            outcome.equal_ns = -1
+            outcome.convergence_ns = -1
         outcome.false_gone = fleet.verdict.false_gone
         return outcome
 
@@ -60,7 +60,7 @@
             return False
         return self.day.may_go(observer.at, self.slots.get(member[0], -1))
 
-    def do(self, step: Step) -> None:
+    def execute_step(self, step: Step) -> None:
         fleet, who = self.fleet, step.who
         if step.what == "start":
             if who not in fleet.hosts:
@@ -88,7 +88,7 @@
             self._twins[who] = fleet.extra(who, name=f"s{step.value}")
             self.slots[f"s{step.value}"] = step.value
         elif step.what == "usurp":
-            fleet.start_named(who, f"s{who}", address_of(step.value))
+            fleet.start_named(who, f"s{who}", get_address(step.value))
             self.slots[f"s{who}"] = who
         elif step.what == "back":
             fleet.start(who, life=1)
@@ -101,7 +101,7 @@
             return  # bytes are the carrier's matter: there are none here
 
     def _fault(self, faults: Faults) -> None:
-        ends = {address_of(at): at for at in self.slots.values()}
+        ends = {get_address(at): at for at in self.slots.values()}
         cut = self._cut
         self.net.faults = Faults(
             faults.loss, faults.doubled, faults.delay_ns,
@@ -110,7 +110,7 @@
 
     def _hold(self, who: int) -> None:
         held = self._held.setdefault(who, [])
-        address, send = address_of(who), self.net.send
+        address, send = get_address(who), self.net.send
 
         def keep(source: str, target: str, message: Any, size: int) -> None:
             if source == address and len(held) < 200:
--- a/ladderhub/lab/emulator/membership.py
+++ b/ladderhub/lab/emulator/membership.py
@@ -35,7 +35,7 @@
 LEASE_NS, WINDOW_NS = 8 * S, 2 * S  # the module counts offers for 1.25 windows
 
 
-def address_of(at: int) -> str:
+def get_address(at: int) -> str:
     return f"10.{at >> 16}.{at >> 8 & 255}.{at & 255}:7000"
 
 
@@ -93,7 +93,7 @@
                 self.net.send(self.address, action.address, frame, len(encode(frame)))
             elif isinstance(action, WakeAt):
                 self._due = action.at_ns
-                self.net.at(action.at_ns, self._wake, action.at_ns)
+                self.net.call_at(action.at_ns, self._wake, action.at_ns)
             elif isinstance(action, LeasesHeld):
                 self.fleet.note("seats", self.at, slots=action.slots, until_ns=action.until_ns)
             else:
@@ -119,7 +119,7 @@
         if self.alive and self.paused_ns < 0:
             self.paused_ns = self.net.now
             self.net.pause(self.address)
-            self.net.at(self.net.now + span_ns, self.go_on)
+            self.net.call_at(self.net.now + span_ns, self.go_on)
 
     def go_on(self) -> None:
         self.paused_ns = -1
@@ -135,7 +135,7 @@
     false_gone: list[str] = field(default_factory=list)
     latencies_ns: list[int] = field(default_factory=list)  # of each crash to each living member
     unheard: int = 0  # living members that were not told of a crash
-    bytes_s: float = 0.0  # sent by a member in a second
+    bytes_per_s: float = 0.0  # sent by a member in a second
     messages_s: float = 0.0
     differing: int = 0  # members whose view at the end is not the truth
     crashes: int = 0
@@ -143,19 +143,19 @@
     doubly_held: list[str] = field(default_factory=list)
     idle_share: float | None = None
 
-    def p99_s(self) -> float:
+    def get_p99_s(self) -> float:
         ordered = sorted(self.latencies_ns)
         return ordered[min(len(ordered) - 1, len(ordered) * 99 // 100)] / S if ordered else 0.0
 
-    def good(self) -> bool:
+    def is_good(self) -> bool:
         return not (self.false_gone or self.differing or self.unheard or self.doubly_held)
 
     def lines(self) -> Iterator[str]:
         yield f"{self.members} members, {self.crashes} crashes, {self.pauses} pauses"
         yield f"living members told gone: {len(self.false_gone)}"
         yield from self.false_gone[:5]
-        yield f"a crash is known to all living: p99 {self.p99_s():.2f} s, not told: {self.unheard}"
-        yield f"{self.bytes_s:.0f} bytes and {self.messages_s:.1f} messages a second sent by a member"
+        yield f"a crash is known to all living: p99 {self.get_p99_s():.2f} s, not told: {self.unheard}"
+        yield f"{self.bytes_per_s:.0f} bytes and {self.messages_s:.1f} messages a second sent by a member"
         yield f"views that are not the truth at the end: {self.differing}"
         if self.idle_share is not None:
             twice, idle = len(self.doubly_held), 100 * self.idle_share
@@ -174,14 +174,14 @@
         voters: int = 0,
     ) -> None:  # fmt: skip
         """`voters`: the first so many vote on leases of `count` slots; 0 for none."""
-        self.count, self.voters = count, tuple(map(address_of, range(voters)))
+        self.count, self.voters = count, tuple(map(get_address, range(voters)))
         self.rows: list[Row] = []
         self.seed, self.net = seed, Net(seed, faults)
         self.random = self.net.random
         self.verdict = Verdict(count)
         self.hosts: dict[int, Host] = {}
         self.every: list[Host] = []
-        self._seeds = tuple(map(address_of, range(seeds)))
+        self._seeds = tuple(map(get_address, range(seeds)))
         self._ended: dict[MemberId, int] = {}  # lives that are over, since when
         self._knew: dict[MemberId, set[str]] = {}
         # A case's own rule: may this host tell that of a member that lives?
@@ -195,10 +195,10 @@
                 host.view.preload(self.net.now, entries)
             return
         for at in range(count):
-            self.net.at(self.net.now + int(self.random.random() * S), self.start, at)
+            self.net.call_at(self.net.now + int(self.random.random() * S), self.start, at)
 
     def start(self, at: int, known: tuple[str, ...] = (), life: int = 0) -> None:
-        self.hosts[at] = self._host(at, f"s{at}", address_of(at), known, life)
+        self.hosts[at] = self._host(at, f"s{at}", get_address(at), known, life)
 
     def start_named(self, at: int, name: str, address: str) -> None:
         """A scheduler of its own at an address that another has had."""
@@ -206,7 +206,7 @@
 
     def extra(self, at: int, name: str) -> Host:
         """A process that should not be there: its name is another's."""
-        return self._host(at, name, address_of(at))
+        return self._host(at, name, get_address(at))
 
     def _host(self, at: int, name: str, address: str, known: tuple[str, ...] = (), life: int = 0) -> Host:
         host = Host(self, at, name, address, life or self.net.now + at + 1, self._seeds, known)
@@ -267,7 +267,9 @@
         return verdict
 
 
-def hour(members: int, seed: int, seconds: int = 3600, loss: float = 0.1, leases: bool = False) -> Verdict:
+def simulate_membership(
+    members: int, seed: int, seconds: int = 3600, loss: float = 0.1, leases: bool = False
+) -> Verdict:
     """A simulated hour: loss, pauses up to 3 s, now and then a crash that is started again later."""
     faults = Faults(loss=loss, delay_ns=(MS // 2, 20 * MS))
     fleet = Fleet(members, seed, faults, warm=True, voters=min(5, members) if leases else 0)
@@ -283,20 +285,20 @@
         at = random.choice(sorted(fleet.hosts))
         fleet.hosts[at].pause(int(random.uniform(0.05, 3.0) * S))
         fleet.verdict.pauses += 1
-        net.at(net.now + int(random.expovariate(members / PAUSE_EVERY_NS)), pause)
+        net.call_at(net.now + int(random.expovariate(members / PAUSE_EVERY_NS)), pause)
 
     def crash() -> None:
         at = random.choice([each for each in sorted(fleet.hosts) if each >= 3] or sorted(fleet.hosts))
         fleet.kill(at)
         fleet.verdict.crashes += 1
-        net.at(net.now + 30 * S, fleet.start, at)
-        net.at(net.now + CRASH_EVERY_NS, crash)
+        net.call_at(net.now + 30 * S, fleet.start, at)
+        net.call_at(net.now + CRASH_EVERY_NS, crash)
 
-    net.at(net.now + int(random.expovariate(members / PAUSE_EVERY_NS)), pause)
-    net.at(net.now + CRASH_EVERY_NS // 2, crash)
+    net.call_at(net.now + int(random.expovariate(members / PAUSE_EVERY_NS)), pause)
+    net.call_at(net.now + CRASH_EVERY_NS // 2, crash)
     net.run(begun + seconds * S)
     spent = net.now - begun
-    fleet.verdict.bytes_s = (net.sent_bytes - sent[1]) * S / spent / members
+    fleet.verdict.bytes_per_s = (net.sent_bytes - sent[1]) * S / spent / members
     fleet.verdict.messages_s = (net.sent - sent[0]) * S / spent / members
     fleet.settle(20 * S)
     if leases:
--- a/ladderhub/lab/emulator/net.py
+++ b/ladderhub/lab/emulator/net.py
@@ -38,7 +38,7 @@
         self._hosts: dict[str, Callable[[Any], None]] = {}
         self._paused: dict[str, list[tuple[Callable[..., object], tuple[Any, ...]]]] = {}
 
-    def at(self, when: int, call: Callable[..., object], *args: Any) -> None:
+    def call_at(self, when: int, call: Callable[..., object], *args: Any) -> None:
         self._count += 1
         heapq.heappush(self._queue, (when, self._count, call, args))
 
@@ -88,7 +88,7 @@
             if faults.loss and chance() < faults.loss:
                 continue
             low, high = faults.delay_ns
-            self.at(self.now + low + int((high - low) * chance()), self._arrive, target, message)
+            self.call_at(self.now + low + int((high - low) * chance()), self._arrive, target, message)
 
     def _arrive(self, target: str, message: Any) -> None:
         waiting = self._paused.get(target)
--- a/ladderhub/lab/emulator/placement.py
+++ b/ladderhub/lab/emulator/placement.py
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Work:
+class TaskSpec:
     """One task that is to be placed."""
 
     klass: int
@@ -76,11 +76,11 @@
 
 
 @dataclass(slots=True)
-class Record:
+class JobRecord:
     """What became of one job.  `start_ns` counts from the first asking; -1 while it has not started.
     `refused`: it was turned away for good."""
 
-    work: Work
+    spec: TaskSpec
     asked_ns: int
     start_ns: int = -1
     refused: bool = False
@@ -97,9 +97,9 @@
         settings = site.settings
         self.admission = Admission(NodeSettings(settings.cores, settings.memory), site.net.now)
         self._answers: dict[RunKey, Callable[[api.Outcome, api.Reason], None]] = {}
-        self._works: dict[RunKey, Work] = {}
+        self._works: dict[RunKey, TaskSpec] = {}
 
-    def offer(self, key: RunKey, work: Work, answer: Callable[[api.Outcome, api.Reason], None]) -> None:
+    def offer(self, key: RunKey, work: TaskSpec, answer: Callable[[api.Outcome, api.Reason], None]) -> None:
         """Look at an offer; `answer` is called once, with how the attempt ended."""
         ask = Offer(key, work.service, work.cores, work.memory, tenant=str(work.tenant))
         self._answers[key], self._works[key] = answer, work
@@ -118,7 +118,7 @@
         if ask is not None:
             net = self.site.net
             span = net.random.randint(*self.site.settings.look_ns)
-            net.at(net.now + span, self._looked, ask.key)
+            net.call_at(net.now + span, self._looked, ask.key)
 
     def _looked(self, key: RunKey) -> None:
         net = self.site.net
@@ -129,7 +129,7 @@
         elif key not in self._works:  # called off meanwhile
             self.admission.release_resources(key)
         else:
-            net.at(net.now + 2 * self.site.settings.hop_ns, self._commit, key)
+            net.call_at(net.now + 2 * self.site.settings.hop_ns, self._commit, key)
         self._look()
 
     def _commit(self, key: RunKey) -> None:
@@ -141,14 +141,14 @@
         while (following := self.admission.begin_next_start()) is not None:
             ask, warm = following
             span = settings.warm_ns * (1.0 if warm else settings.cold_times) * net.random.uniform(0.85, 1.15)
-            net.at(net.now + round(span), self._started, ask.key)
+            net.call_at(net.now + round(span), self._started, ask.key)
 
     def _started(self, key: RunKey) -> None:
         if key not in self._works:
             return
         self.admission.mark_started(key)
         self.site.running(key)
-        self.site.net.at(self.site.net.now + self._works[key].life_ns, self._ended, key)
+        self.site.net.call_at(self.site.net.now + self._works[key].life_ns, self._ended, key)
         self._start()
 
     def _ended(self, key: RunKey) -> None:
@@ -172,9 +172,9 @@
 
     count: Counter[str] = field(default_factory=Counter)
     ns: dict[str, int] = field(default_factory=lambda: defaultdict(int))
-    worst_wait_ns: int = 0  # of an event for its turn, where time is charged
+    max_wait_ns: int = 0  # of an event for its turn, where time is charged
 
-    def total_ns(self) -> int:
+    def get_total_ns(self) -> int:
         return sum(self.ns.values())
 
     def mean_us(self, kind: str) -> float:
@@ -207,9 +207,9 @@
         self._busy = bool(self._queue)
         if self._busy:
             came_ns, event = self._queue.popleft()
-            self.spent.worst_wait_ns = max(self.spent.worst_wait_ns, self.site.net.now - came_ns)
+            self.spent.max_wait_ns = max(self.spent.max_wait_ns, self.site.net.now - came_ns)
             spent_ns = self._handle(event)
-            self.site.net.at(self.site.net.now + spent_ns, self._next)
+            self.site.net.call_at(self.site.net.now + spent_ns, self._next)
 
     def _handle(self, event: api.Event) -> int:
         began = time.thread_time_ns()
@@ -228,16 +228,16 @@
     def _carry(self, action: api.Action, delay: int) -> None:
         net = self.site.net
         if isinstance(action, api.SetTimer):
-            net.at(max(net.now, action.at_ns), self.take, api.TimerFired(action.timer))
+            net.call_at(max(net.now, action.at_ns), self.take, api.TimerFired(action.timer))
         elif isinstance(action, api.Send):
             self._send(action, delay)
         elif isinstance(action, api.Refuse | api.Fail):
             self._call_off(action.task)
             self._turned_away(self.site.tasks[action.task])
 
-    def ask(self, record: Record) -> None:
+    def ask(self, record: JobRecord) -> None:
         """Hand one ask of a job to the module."""
-        settings, work = self.site.settings, record.work
+        settings, work = self.site.settings, record.spec
         if not record.asks:
             self.again_left = min(settings.again_burst, self.again_left + settings.again_share)
         record.asks += 1
@@ -253,11 +253,11 @@
             )
         )  # fmt: skip
 
-    def _turned_away(self, record: Record) -> None:
+    def _turned_away(self, record: JobRecord) -> None:
         """Ask again later, as `owner.decide` does: the common budget's last part is for the most urgent."""
         settings, now = self.site.settings, self.site.net.now
         first, most = settings.stay_ns
-        urgent = settings.classes[record.work.klass].priority >= self.site.top_priority
+        urgent = settings.classes[record.spec.klass].priority >= self.site.top_priority
         stay = round(min(most, first << record.asks - 1) * self.site.net.random.uniform(0.75, 1.25))
         if self.again_left >= (1.0 if urgent else 1.0 + PRIORITY_RESERVE * settings.again_burst):
             self.again_left -= 1
@@ -266,7 +266,7 @@
         if record.asks >= settings.asks_most or now + stay >= record.asked_ns + settings.limit_ns:
             record.refused = True
             return
-        self.site.net.at(now + stay, self.ask, record)
+        self.site.net.call_at(now + stay, self.ask, record)
 
     def _send(self, send: api.Send, delay: int) -> None:
         site, attempt = self.site, self._attempts[send.task]
@@ -278,12 +278,12 @@
         self._where[key] = (node, attempt)
 
         def answer(outcome: api.Outcome, reason: api.Reason) -> None:
-            site.net.at(site.net.now + site.settings.hop_ns, self._over, key, outcome, reason)
+            site.net.call_at(site.net.now + site.settings.hop_ns, self._over, key, outcome, reason)
 
         arrives = site.net.now + delay + site.settings.hop_ns
-        site.net.at(arrives, node.offer, key, record.work, answer)
+        site.net.call_at(arrives, node.offer, key, record.spec, answer)
         if send.timeout_ns is not None:
-            site.net.at(site.net.now + delay + send.timeout_ns, self._late, key)
+            site.net.call_at(site.net.now + delay + send.timeout_ns, self._late, key)
 
     def _late(self, key: RunKey) -> None:
         if key in self._where and self.site.tasks[int(key[0])].start_ns < 0:
@@ -298,7 +298,9 @@
         """End an attempt, if it is still out."""
         if key in self._where:
             self._where[key][0].stop(key)
-            self.site.net.at(self.site.net.now, self._over, key, api.Outcome.CANCELLED, api.Reason.UNKNOWN)
+            self.site.net.call_at(
+                self.site.net.now, self._over, key, api.Outcome.CANCELLED, api.Reason.UNKNOWN
+            )
 
     def placed(self, key: RunKey) -> None:
         """The task runs, and this scheduler has heard it."""
@@ -327,8 +329,8 @@
         self.nodes = [Node(self, at) for at in range(settings.nodes)]
         self.by_name = {node.name: node for node in self.nodes}
         self.schedulers = [Place(self, at, seed * 1000 + at) for at in range(settings.schedulers)]
-        self.records: list[Record] = []
-        self.tasks: dict[int, Record] = {}
+        self.records: list[JobRecord] = []
+        self.tasks: dict[int, JobRecord] = {}
         self.rows_listed = 0
         self._owners: dict[int, Place] = {}
         self._version = 1
@@ -336,7 +338,7 @@
         entries = tuple(self._row(node) for node in self.nodes)
         for place in self.schedulers:
             place.take(api.MachineList(api.ListKind.FULL, 1, entries))
-        self.net.at(self.net.now + settings.list_every_ns, self._list)
+        self.net.call_at(self.net.now + settings.list_every_ns, self._list)
 
     def _row(self, node: Node) -> api.MachineEntry:
         settings, at = self.settings, node.at
@@ -358,24 +360,24 @@
             self.rows_listed += len(changed)
             event = api.MachineList(api.ListKind.CHANGES, self._version, tuple(changed))
             for place in self.schedulers:
-                self.net.at(self.net.now + self.settings.list_delay_ns, place.take, event)
-        self.net.at(self.net.now + self.settings.list_every_ns, self._list)
+                self.net.call_at(self.net.now + self.settings.list_delay_ns, place.take, event)
+        self.net.call_at(self.net.now + self.settings.list_every_ns, self._list)
 
-    def ask(self, place: Place, work: Work) -> Record:
+    def ask(self, place: Place, work: TaskSpec) -> JobRecord:
         """A job comes to one scheduler."""
-        record = Record(work, self.net.now)
+        record = JobRecord(work, self.net.now)
         self.records.append(record)
         place.ask(record)
         return record
 
-    def number(self, record: Record, place: Place) -> int:
+    def number(self, record: JobRecord, place: Place) -> int:
         """The next number of a task of the modules."""
         task = len(self.tasks)
         self.tasks[task] = record
         self._owners[task] = place
         return task
 
-    def cancel(self, record: Record) -> None:
+    def cancel(self, record: JobRecord) -> None:
         """The owner ends a job that runs."""
         if record.run is not None:
             self._owners[int(record.run[0])].stop(record.run)
@@ -386,9 +388,9 @@
         record = self.tasks[task]
         if record.start_ns < 0:
             record.start_ns, record.run = self.net.now - record.asked_ns, key
-        self.net.at(self.net.now + self.settings.hop_ns, self._owners[task].placed, key)
+        self.net.call_at(self.net.now + self.settings.hop_ns, self._owners[task].placed, key)
 
-    def full(self) -> float:
+    def get_utilization(self) -> float:
         """Share of all cores that tasks have been admitted for."""
         used = sum(node.admission.used[0] for node in self.nodes)
         return used / (self.settings.nodes * self.settings.cores)
--- a/ladderhub/lab/emulator/revision_judge.py
+++ b/ladderhub/lab/emulator/revision_judge.py
@@ -21,7 +21,7 @@
 
     def __init__(self, voters: tuple[str, ...]) -> None:
         self.voters = voters
-        self.broken: list[str] = []
+        self.violations: list[str] = []
         self.chosen: dict[int, Header] = {}
         self.outcomes: dict[int, Outcome] = {}
         self.notices: Counter[Notice] = Counter()
@@ -38,26 +38,26 @@
         if len(voters) > len(self.voters) // 2:
             before = self.chosen.setdefault(header.number, header)
             if before != header:
-                self.broken.append(f"revision {header.number} was chosen twice")
+                self.violations.append(f"revision {header.number} was chosen twice")
             parent = self.chosen.get(header.number - 1)
             if digest_of(parent) != header.parent:
-                self.broken.append(f"revision {header.number} is no child of the one before")
+                self.violations.append(f"revision {header.number} is no child of the one before")
 
     def activated(self, name: str, numbers: list[int], header: Header) -> None:
         """`numbers`: of all that this life has acted by, in order."""
         if self.chosen.get(header.number) != header:
-            self.broken.append(f"{name} acts by revision {header.number}, which was not chosen")
+            self.violations.append(f"{name} acts by revision {header.number}, which was not chosen")
         if numbers != sorted(set(numbers)):
-            self.broken.append(f"{name} acted by {numbers[-2:]} in one life")
+            self.violations.append(f"{name} acted by {numbers[-2:]} in one life")
 
     def answered(self, answer: Answer) -> None:
         if answer.request_id in self.outcomes:
-            self.broken.append(f"request {answer.request_id} was answered twice")
+            self.violations.append(f"request {answer.request_id} was answered twice")
         self.outcomes[answer.request_id] = answer.outcome
         if isinstance(answer.outcome, Applied):
             header = answer.outcome.header
             if self.chosen.get(header.number) != header:
-                self.broken.append(f"request {answer.request_id} was told applied and was not chosen")
+                self.violations.append(f"request {answer.request_id} was told applied and was not chosen")
 
 
 @dataclass
@@ -67,18 +67,18 @@
     schedulers: int
     changes: int
     outcomes: dict[str, int]
-    broken: list[str]
+    violations: list[str]
     unanswered: int  # requests of lives that were not killed
     differing: int  # schedulers whose head is not the last chosen one at the end
     in_force_ns: list[int] = field(default_factory=list)  # of each applied change on each reachable one
     first_ns: list[int] = field(default_factory=list)
-    bytes_s: float = 0.0
+    bytes_per_s: float = 0.0
     bytes_s_most: float = 0.0  # of the scheduler that sent most
     messages_s: float = 0.0
 
-    def good(self) -> bool:
+    def is_good(self) -> bool:
         late = self.most_s() > IN_FORCE_NS / S
-        return not (self.broken or self.unanswered or self.differing or late)
+        return not (self.violations or self.unanswered or self.differing or late)
 
     def most_s(self) -> float:
         return max(self.in_force_ns, default=0) / S
@@ -88,10 +88,10 @@
         yield f"{self.schedulers} schedulers, {self.changes} changes asked for: {told}"
         yield f"first in force anywhere in s, p50 p99 most: {_spans(self.first_ns)}"
         yield f"in force on all that are reachable in s, p50 p99 most: {_spans(self.in_force_ns)}"
-        yield f"{self.bytes_s:.0f} bytes and {self.messages_s:.1f} messages a second sent by a scheduler"
+        yield f"{self.bytes_per_s:.0f} bytes and {self.messages_s:.1f} messages a second sent by a scheduler"
         yield f"{self.bytes_s_most:.0f} bytes a second sent by the one that sent most"
         yield f"without an answer: {self.unanswered}, without the last revision: {self.differing}"
-        yield from self.broken[:5]
+        yield from self.violations[:5]
 
 
 def _spans(spans_ns: list[int]) -> str:
--- a/ladderhub/lab/emulator/revisions.py
+++ b/ladderhub/lab/emulator/revisions.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ladderhub.lab.emulator.membership import address_of
+from ladderhub.lab.emulator.membership import get_address
 from ladderhub.lab.emulator.net import MS, Faults, Net, S
 from ladderhub.lab.emulator.revision_judge import IN_FORCE_NS, Judge, RevisionVerdict
 from ladderhub.peers.wire import VERSION, Frame, encode
@@ -27,29 +27,29 @@
 class Host:
     """One life of one scheduler."""
 
-    def __init__(self, play: Play, at: int, life: int, stored: Record | None) -> None:
+    def __init__(self, play: RevisionSimulation, at: int, life: int, stored: Record | None) -> None:
         self.play, self.net, self.at = play, play.net, at
-        self.name, self.address, self.life = f"s{at}", address_of(at), life
-        settings = RevisionSettings(self.name, life, self.address, play.voters, play.first)
+        self.name, self.address, self.life = f"s{at}", get_address(at), life
+        settings = RevisionSettings(self.name, life, self.address, play.voters, play.first_body)
         self.revisions = Revisions(settings, stored, play.seed)
         self.disk = stored
-        self.alive, self.paused, self.held = True, False, False
+        self.alive, self.paused, self.holds_decisions = True, False, False
         self.actions_left: int | None = None  # that it still carries out before it is killed
         self.active: list[int] = []  # numbers, in order
         self._due_ns = 0
         self.net.open(self.address, self.receive)
-        self.feed(MembersChanged(play.addresses))
-        self.feed(Tick())
-        self.net.at(self.net.now + int(play.random.random() * S), self._ping)
+        self.handle_event(MembersChanged(play.addresses))
+        self.handle_event(Tick())
+        self.net.call_at(self.net.now + int(play.random.random() * S), self._ping)
 
     def receive(self, message: tuple[str, int, Head, Any]) -> None:
         if self.alive:
             name, life, head, content = message
-            self.feed(HeadSeen(self.play.addresses[name], head))
+            self.handle_event(HeadSeen(self.play.addresses[name], head))
             if content is not None:
-                self.feed(MessageReceived(name, life, content))
+                self.handle_event(MessageReceived(name, life, content))
 
-    def feed(self, event: Event) -> None:
+    def handle_event(self, event: Event) -> None:
         for action in self.revisions.handle(self.net.now, event):
             if self.actions_left == 0:
                 self.kill()
@@ -63,13 +63,13 @@
             self._send(action.address, action.message)
         elif isinstance(action, WakeAt):
             self._due_ns = action.at_ns
-            self.net.at(action.at_ns, self._wake, action.at_ns)
+            self.net.call_at(action.at_ns, self._wake, action.at_ns)
         elif isinstance(action, Store):
             self.disk = action.record
             self.play.judge.stored(self.address, action.record)
         elif isinstance(action, CheckBody):
-            fault = self.play.fault_of(self, action.body)
-            self.net.at(self.net.now + MS, self._later, BodyChecked(action.digest, fault))
+            fault = self.play.find_body_fault(self, action.body)
+            self.net.call_at(self.net.now + MS, self._later, BodyChecked(action.digest, fault))
         elif isinstance(action, Activate):
             number = action.revision.header.number
             self.active.append(number)
@@ -78,7 +78,7 @@
         elif isinstance(action, Answer):
             self.play.judge.answered(action)
         elif isinstance(action, Hold | Resume):
-            self.held = isinstance(action, Hold)
+            self.holds_decisions = isinstance(action, Hold)
         elif isinstance(action, Notify):
             self.play.judge.notices[action.notice] += 1
 
@@ -92,7 +92,7 @@
 
     def _feed_alive(self, event: Event) -> None:
         if self.alive:
-            self.feed(event)
+            self.handle_event(event)
 
     def _wake(self, due: int) -> None:
         if self.alive and due == self._due_ns:
@@ -100,7 +100,7 @@
 
     def _tick(self, due: int) -> None:
         if self.alive and due == self._due_ns:
-            self.feed(Tick())
+            self.handle_event(Tick())
 
     def _ping(self) -> None:
         """What membership sends anyway, spread over the second."""
@@ -109,8 +109,8 @@
         if not self.paused:
             at = (self.at + self.play.random.choice((1, 2, 5, 11, 23, 47))) % self.play.count
             message = (self.name, self.life, self.revisions.head(self.net.now), None)
-            self.net.send(self.address, address_of(at), message, 0)
-        self.net.at(self.net.now + S // PINGED, self._ping)
+            self.net.send(self.address, get_address(at), message, 0)
+        self.net.call_at(self.net.now + S // PINGED, self._ping)
 
     def kill(self) -> None:
         self.alive = False
@@ -126,16 +126,16 @@
     body: bytes
 
 
-class Play:
+class RevisionSimulation:
     """A fleet, operators' changes and faults."""
 
     def __init__(self, count: int, seed: int, faults: Faults, voters: int, body_bytes: int) -> None:
         self.count, self.seed, self.body_bytes = count, seed, body_bytes
         self.net = Net(seed, faults)
         self.random = self.net.random
-        self.voters = tuple(address_of(at) for at in range(min(voters, count)))
-        self.addresses = {f"s{at}": address_of(at) for at in range(count)}
-        self.first = self.body(0)
+        self.voters = tuple(get_address(at) for at in range(min(voters, count)))
+        self.addresses = {f"s{at}": get_address(at) for at in range(count)}
+        self.first_body = self.body(0)
         self.judge = Judge(self.voters)
         self.hosts: dict[int, Host] = {}
         self.changes: list[Change] = []
@@ -151,7 +151,7 @@
         filling = f"{self.random.getrandbits(4 * self.body_bytes):x}"
         return json.dumps({"change": number, "filling": filling}).encode()
 
-    def fault_of(self, host: Host, body: bytes) -> str | None:
+    def find_body_fault(self, host: Host, body: bytes) -> str | None:
         return None
 
     def start(self, at: int, stored: Record | None) -> None:
@@ -168,7 +168,9 @@
         self.changes.append(Change(self.net.now, host, body))
         parent = None if on_current else host.revisions.status(self.net.now).digest
         made_ms = self.net.now // MS
-        host.feed(Apply(number, parent, f"operator at {host.name}", f"change {number}", made_ms, body))
+        host.handle_event(
+            Apply(number, parent, f"operator at {host.name}", f"change {number}", made_ms, body)
+        )
 
     def disturb(self, at: int, span_ns: int) -> None:
         self.disturbed.setdefault(at, []).append((self.net.now, self.net.now + span_ns))
@@ -179,7 +181,7 @@
             self.disturb(at, span_ns)
             host.paused = True
             self.net.pause(host.address)
-            self.net.at(self.net.now + span_ns, self._go_on, host)
+            self.net.call_at(self.net.now + span_ns, self._go_on, host)
 
     def _go_on(self, host: Host) -> None:
         host.paused = False
@@ -192,7 +194,7 @@
         if host.alive and host.actions_left is None:
             self.disturb(at, span_ns)
             host.actions_left = actions_left
-            self.net.at(self.net.now + span_ns, self._start_again, host, keep_disk)
+            self.net.call_at(self.net.now + span_ns, self._start_again, host, keep_disk)
 
     def _start_again(self, host: Host, keep_disk: bool) -> None:
         if host.alive:
@@ -201,7 +203,7 @@
 
     def cut(self, slots: set[int], span_ns: int, one_sided: bool = False) -> None:
         """These hear nobody else; unless it is one-sided nobody else hears them either."""
-        inside = {address_of(at) for at in slots}
+        inside = {get_address(at) for at in slots}
         voters_inside = len(inside & set(self.voters))
         outside = set(range(self.count)) - slots
         for at in outside if 2 * voters_inside > len(self.voters) else slots:
@@ -211,7 +213,7 @@
             return (target in inside) != (source in inside) and (target in inside or not one_sided)
 
         self.net.faults.cut = is_cut
-        self.net.at(self.net.now + span_ns, self._heal, is_cut)
+        self.net.call_at(self.net.now + span_ns, self._heal, is_cut)
 
     def _heal(self, is_cut: Any) -> None:
         if self.net.faults.cut is is_cut:
@@ -237,13 +239,13 @@
         living = [host for host in self.hosts.values() if host.alive]
         outcomes = Counter(type(each).__name__ for each in judge.outcomes.values())
         verdict = RevisionVerdict(
-            self.count, len(self.changes), dict(outcomes), judge.broken, unanswered,
+            self.count, len(self.changes), dict(outcomes), judge.violations, unanswered,
             sum(not host.active or host.active[-1] != last for host in living),
         )  # fmt: skip
         for request, outcome in judge.outcomes.items():
             if isinstance(outcome, Applied):
                 self._time_in_force(verdict, self.changes[request], outcome.header.number)
-        verdict.bytes_s = (self.net.sent_bytes - self._sent_before[0]) / seconds / self.count
+        verdict.bytes_per_s = (self.net.sent_bytes - self._sent_before[0]) / seconds / self.count
         verdict.messages_s = (self.net.sent - self._sent_before[1]) / seconds / self.count
         verdict.bytes_s_most = max(self.sent.values(), default=0) / seconds
         return verdict
@@ -266,12 +268,14 @@
             verdict.first_ns.append(min(moments) - change.at_ns)
 
 
-def changes(
+def simulate_changes(
     schedulers: int, seed: int, seconds: int = 60, rate: float = 1.0, loss: float = 0.1, calm: bool = False,
     burst: int = 10, body_bytes: int = 4000, voters: int = 3,
 ) -> RevisionVerdict:  # fmt: skip
     """Changes at a rate, pauses, a crash, cuts and, at the end, many changes within one second."""
-    play = Play(schedulers, seed, Faults(loss=loss, delay_ns=(MS // 2, 20 * MS)), voters, body_bytes)
+    play = RevisionSimulation(
+        schedulers, seed, Faults(loss=loss, delay_ns=(MS // 2, 20 * MS)), voters, body_bytes
+    )
     net, random = play.net, play.random
     net.run(net.now + 6 * S)
     play.begin_count()
@@ -280,7 +284,7 @@
     def change() -> None:
         if net.now < end:
             play.apply(on_current=random.random() < 0.8)
-            net.at(net.now + int(S / rate), change)
+            net.call_at(net.now + int(S / rate), change)
 
     def fault() -> None:
         if net.now < end - 10 * S:
@@ -294,13 +298,13 @@
                 play.cut({at}, span, one_sided=random.random() < 0.5)
             else:
                 play.cut(set(random.sample(range(schedulers), schedulers // 3)), span)
-            net.at(net.now + span + int(random.uniform(1.0, 4.0) * S), fault)
+            net.call_at(net.now + span + int(random.uniform(1.0, 4.0) * S), fault)
 
-    net.at(begun, change)
+    net.call_at(begun, change)
     if not calm:
-        net.at(begun + 2 * S, fault)
+        net.call_at(begun + 2 * S, fault)
     net.run(end + 6 * S)
     for at in range(burst):
-        net.at(net.now + at * S // max(1, burst), play.apply)
+        net.call_at(net.now + at * S // max(1, burst), play.apply)
     net.run(net.now + 8 * S)
     return play.close()
--- a/ladderhub/lab/mesh/change_days.py
+++ b/ladderhub/lab/mesh/change_days.py
@@ -67,7 +67,7 @@
 LEAST_SCHEDULERS = 3
 
 
-def draw_changes(name: str, count: int, seed: int) -> Day:
+def draw_change_day(name: str, count: int, seed: int) -> Day:
     """The day of this name for so many schedulers; ValueError where there is none for so few."""
     if count < LEAST_SCHEDULERS:
         raise ValueError(f"schedulers: found {count}; at least {LEAST_SCHEDULERS} are meant for {name}")
--- a/ladderhub/lab/mesh/changes.py
+++ b/ladderhub/lab/mesh/changes.py
@@ -118,13 +118,13 @@
         self._hollow.end()
         super().close()
 
-    def do(self, step: Step) -> None:
+    def execute_step(self, step: Step) -> None:
         if step.what == "change":
             self._change(step.who, bool(step.value))
         elif step.what == "forget":
             (self.folder / self.name_of(step.who) / RECORD).unlink()
         else:
-            super().do(step)
+            super().execute_step(step)
 
     def _change(self, slot: int, from_current: bool) -> None:
         """An operator asks for a policy that nobody asked for before."""
--- a/ladderhub/lab/mesh/days.py
+++ b/ladderhub/lab/mesh/days.py
@@ -40,11 +40,11 @@
     """`may_go(observer, subject)`: may this one say of that living one that it is gone?"""
 
     name: str
-    about: str
+    description: str
     steps: list[Step]
     last_s: float  # of the last fault
     may_go: Allowed = field(default=lambda observer, subject: False)
-    real: bool = True  # can be played with real processes
+    can_run_processes: bool = True  # can be played with real processes
     out: frozenset[int] = frozenset()  # slots that are not in at the end though their process lives
     load: float = 0.0  # jobs a second, submitted over the whole day
 
@@ -169,7 +169,13 @@
 def _clock_back(count: int, rng: random.Random) -> Day:
     who = rng.randrange(count)
     steps = [Step(1, "kill", who), Step(1.2, "back", who)]
-    return Day("clock-back", "started again with a clock set back and nothing kept", steps, 2, real=False)
+    return Day(
+        "clock-back",
+        "started again with a clock set back and nothing kept",
+        steps,
+        2,
+        can_run_processes=False,
+    )
 
 
 def _late_word(count: int, rng: random.Random) -> Day:
@@ -238,7 +244,7 @@
 }  # fmt: skip
 
 
-def draw(name: str, count: int, seed: int) -> Day:
+def draw_day(name: str, count: int, seed: int) -> Day:
     """The day of this name for so many schedulers; ValueError where there is none."""
     if name not in DAYS:
         raise ValueError(f"day: found {name!r}; one of {', '.join(DAYS)} is meant")
--- a/ladderhub/lab/mesh/fleet.py
+++ b/ladderhub/lab/mesh/fleet.py
@@ -154,7 +154,7 @@
         self.note("day", name=day.name)
         begun = self.loop.now_ns()
         for step in day.steps:
-            self.loop.call_at(begun + round(step.at_s * S), self.do, step)
+            self.loop.call_at(begun + round(step.at_s * S), self.execute_step, step)
         self.fleet.run_for(round(day.last_s * S) + 50 * MS)
         self.note("settled")
         self.fleet.run_for(AFTER_NS)
@@ -163,7 +163,7 @@
         path.write_text("".join(json.dumps(row) + "\n" for row in self.rows))
         return judge(self.rows, day, self.count, self.window_s)
 
-    def do(self, step: Step) -> None:
+    def execute_step(self, step: Step) -> None:
         who, relay = step.who, self.relay
         if step.what == "start":
             self._start(who)
--- a/ladderhub/lab/mesh/judge.py
+++ b/ladderhub/lab/mesh/judge.py
@@ -32,7 +32,7 @@
     equal_s: float = -1.0
     told: int = 0
 
-    def good(self) -> bool:
+    def is_good(self) -> bool:
         return not (self.false_gone or self.unequal or self.troubles or self.doubly_held)
 
     def lines(self) -> Iterator[str]:
@@ -48,7 +48,7 @@
         yield from (*self.doubly_held[:5], *self.troubles[:5])
 
 
-def read(path: Path) -> list[Row]:
+def read_recording(path: Path) -> list[Row]:
     with open(path) as file:
         return [json.loads(line) for line in file]
 
@@ -99,7 +99,7 @@
     birth: int
 
 
-def uses(rows: list[Row]) -> list[_Use]:
+def find_lease_uses(rows: list[Row]) -> list[_Use]:
     """Each process's spans of each seat: until it is told otherwise, the lease runs out, or it is over."""
     found: list[_Use] = []
     now: dict[int, tuple[dict[int, float], float]] = {}  # slot -> seats with their begin, and until when
@@ -130,7 +130,7 @@
 
 def check_leases(verdict: Verdict, rows: list[Row], window_s: float, count: int) -> None:
     """No seat has two holders within a window: the node still counts what the last one sent."""
-    spans = sorted(uses(rows), key=lambda use: (use.seat, use.begun))
+    spans = sorted(find_lease_uses(rows), key=lambda use: (use.seat, use.begun))
     verdict.leases_reported = sum(row["what"] == "seats" for row in rows)
     for before, after in pairwise(spans):
         same = (before.slot, before.birth) == (after.slot, after.birth)
--- a/ladderhub/lab/mesh/revision_judge.py
+++ b/ladderhub/lab/mesh/revision_judge.py
@@ -58,9 +58,9 @@
         """Is every rule kept that speaks of no span of time, and is no log in trouble?"""
         return not any(self._rules().values()) and not self.troubles
 
-    def good(self) -> bool:
+    def is_good(self) -> bool:
         late = self.late if self.within_s is not None else []
-        return self.is_orderly() and self.membership.good() and not late
+        return self.is_orderly() and self.membership.is_good() and not late
 
     def lines(self) -> Iterator[str]:
         outcomes = ", ".join(f"{name} {count}" for name, count in sorted(self.outcomes.items()))
--- a/tests/lab/test_mesh.py
+++ b/tests/lab/test_mesh.py
@@ -7,9 +7,9 @@
 import pytest
 
 from ladderhub.lab.emulator.net import S
-from ladderhub.lab.mesh.days import Day, Step, draw
+from ladderhub.lab.mesh.days import Day, Step, draw_day
 from ladderhub.lab.mesh.fleet import Mesh
-from ladderhub.lab.mesh.judge import Row, judge, read
+from ladderhub.lab.mesh.judge import Row, judge, read_recording
 from ladderhub.lab.mesh.relay import Relay
 from ladderhub.loop import Loop
 from ladderhub.loop.datagram import Datagrams
@@ -23,7 +23,7 @@
     """Five processes: kills with a start within 100 ms, a pause, noise, a cut in one direction."""
     folder = tmp_path_factory.mktemp("mesh")
     steps = [
-        *draw("restart", COUNT, 3).steps[:4], Step(1, "noise", 0), Step(1.5, "pause", 4),
+        *draw_day("restart", COUNT, 3).steps[:4], Step(1, "noise", 0), Step(1.5, "pause", 4),
         Step(3.5, "go_on", 4), Step(2, "cut", value=frozenset({(0, 1)})), Step(6, "cut", value=frozenset()),
     ]  # fmt: skip
     day = Day("small", "a little of each", steps, 6)
@@ -36,8 +36,8 @@
     finally:
         mesh.close()
         loop.close()
-    assert verdict.good(), list(verdict.lines())
-    return read(folder / "recording.jsonl")
+    assert verdict.is_good(), list(verdict.lines())
+    return read_recording(folder / "recording.jsonl")
 
 
 DAY = Day("small", "", [], 6)
@@ -46,7 +46,7 @@
 def test_real_processes_find_each_other_and_keep_their_views_over_faults(recording: list[Row]) -> None:
     verdict = judge(recording, DAY, COUNT, 2.5)
     assert verdict.leases_reported > 10 and verdict.idle_share < 0.9
-    assert verdict.good() and 0 <= verdict.equal_s <= 10 and verdict.told > 10
+    assert verdict.is_good() and 0 <= verdict.equal_s <= 10 and verdict.told > 10
     assert any(row["what"] == "told" and "woke" in row["change"] for row in recording)
 
 
@@ -93,7 +93,7 @@
 )  # fmt: skip
 def test_the_judge_of_views_fails_on_a_doctored_recording(recording: list[Row], kind: str) -> None:
     verdict = judge(doctored(recording, kind), DAY, COUNT, 2.5)
-    assert not verdict.good() and ("seat" not in kind or verdict.doubly_held)
+    assert not verdict.is_good() and ("seat" not in kind or verdict.doubly_held)
 
 
 def test_the_relay_cuts_one_direction_of_one_pair_alone() -> None:
--- a/tests/lab/test_placement.py
+++ b/tests/lab/test_placement.py
@@ -8,7 +8,7 @@
 
 from ladderhub import interface as api
 from ladderhub.lab.emulator.net import MS, S
-from ladderhub.lab.emulator.placement import Site, SiteSettings, Work
+from ladderhub.lab.emulator.placement import Site, SiteSettings, TaskSpec
 
 CLASS = api.TaskClass(api.Effect.SAFE, 800 * MS, 6 * S)
 
@@ -18,8 +18,8 @@
     site = Site(SiteSettings(nodes=10, schedulers=2, classes=(CLASS,), charged=charged), seed)
     dice = random.Random(seed)
     for _ in range(jobs):
-        work = Work(0, 0, f"s{dice.randrange(5)}", 1.0, 1.0, 10 * S, 6 * S)
-        site.net.at(site.net.now + dice.randrange(2 * S), site.ask, dice.choice(site.schedulers), work)
+        work = TaskSpec(0, 0, f"s{dice.randrange(5)}", 1.0, 1.0, 10 * S, 6 * S)
+        site.net.call_at(site.net.now + dice.randrange(2 * S), site.ask, dice.choice(site.schedulers), work)
     for _ in range(40):
         site.net.run(site.net.now + S)
         for node in site.nodes:
@@ -31,7 +31,7 @@
 def test_all_start_where_there_is_room(charged: bool) -> None:
     site = play(1, 30, charged)
     assert all(record.start_ns > 0 and not record.refused for record in site.records)
-    assert site.full() == 0
+    assert site.get_utilization() == 0
 
 
 def test_what_has_no_room_is_told_within_its_limit() -> None:
--- a/tests/lab/test_revision_judge.py
+++ b/tests/lab/test_revision_judge.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from ladderhub.lab.mesh.change_days import draw_changes
+from ladderhub.lab.mesh.change_days import draw_change_day
 from ladderhub.lab.mesh.changes import run_changes
-from ladderhub.lab.mesh.judge import Row, Verdict, read
+from ladderhub.lab.mesh.judge import Row, Verdict, read_recording
 from ladderhub.lab.mesh.reach import Reach
 from ladderhub.lab.mesh.revision_judge import RevisionVerdict, judge_revisions
 
@@ -22,10 +22,10 @@
 def recording(tmp_path_factory: pytest.TempPathFactory) -> list[Row]:
     """Five processes under load: eight changes amid loss, a kill and a pause.  Times are not judged here."""
     folder = tmp_path_factory.mktemp("changes")
-    verdict = run_changes(draw_changes("few-changes", COUNT, SEED), folder, COUNT, SEED, within_s=None)
+    verdict = run_changes(draw_change_day("few-changes", COUNT, SEED), folder, COUNT, SEED, within_s=None)
     assert verdict.is_orderly(), list(verdict.lines())
     (path,) = folder.glob("*/recording.jsonl")
-    return sorted(read(path), key=lambda row: float(row["at"]))
+    return sorted(read_recording(path), key=lambda row: float(row["at"]))
 
 
 def judged(rows: list[Row], within_s: float | None = None) -> RevisionVerdict:
@@ -34,7 +34,7 @@
 
 def test_changes_come_into_force_in_one_order_and_no_job_is_decided_otherwise(recording: list[Row]) -> None:
     verdict = judged(recording)
-    assert verdict.good() and verdict.proposed == 7 and verdict.chosen >= 5 and verdict.decisions > 50
+    assert verdict.is_good() and verdict.proposed == 7 and verdict.chosen >= 5 and verdict.decisions > 50
     assert verdict.outcomes.total() == 7 and len(verdict.lags) > 3 * COUNT
 
 
@@ -169,11 +169,11 @@
     rows = copy.deepcopy(recording)
     doctor(rows)
     verdict = judged(rows)
-    assert getattr(verdict, rule) and not verdict.good(), list(verdict.lines())
+    assert getattr(verdict, rule) and not verdict.is_good(), list(verdict.lines())
 
 
 def test_the_judge_fails_where_a_revision_comes_late_or_never(recording: list[Row]) -> None:
-    assert judged(recording, within_s=LATE_S).good()
+    assert judged(recording, within_s=LATE_S).is_good()
     late = copy.deepcopy(recording)
     for row in late:
         if row["what"] not in ("revision", "day", "voters", "life", "began") or row.get("stage") in (
--- a/tests/membership/test_leases.py
+++ b/tests/membership/test_leases.py
@@ -6,7 +6,15 @@
 
 import pytest
 
-from ladderhub.lab.checker.leases import COUNT, SLOTS, Fault, at_random, exhaustive, faults_of, prepared
+from ladderhub.lab.checker.leases import (
+    HOST_COUNT,
+    SLOT_COUNT,
+    Fault,
+    check_randomly,
+    check_exhaustively,
+    enumerate_faults,
+    create_warm_world,
+)
 from ladderhub.membership import (
     MessageReceived,
     LeaseHolder,
@@ -22,14 +30,14 @@
 
 
 def test_every_schedule_with_one_fault_gives_each_slot_at_most_one_holder() -> None:
-    found = exhaustive(4, faults=1)
-    assert not found.broken, (found.broken, found.schedule)
-    assert found.schedules == 1 + 4 * len(list(faults_of(0))) == 157
+    found = check_exhaustively(4, faults=1)
+    assert not found.violation, (found.violation, found.schedule)
+    assert found.schedules == 1 + 4 * len(list(enumerate_faults(0))) == 157
 
 
 def test_random_schedules_with_many_faults_give_each_slot_at_most_one_holder() -> None:
-    found = at_random(250, seed=11)
-    assert not found.broken, (found.broken, found.schedule)
+    found = check_randomly(250, seed=11)
+    assert not found.violation, (found.violation, found.schedule)
 
 
 class OneVote(LeaseHolder):
@@ -68,7 +76,7 @@
 
 @pytest.mark.parametrize("planted", [OneVote, NoSilence, FromReceipt, NoQuarantine])
 def test_a_planted_fault_is_found(planted: type[LeaseHolder]) -> None:
-    assert at_random(1500, 1, planted).broken
+    assert check_randomly(1500, 1, planted).violation
 
 
 class GrantsHeldSlots(LeaseHolder):
@@ -81,16 +89,16 @@
 
 
 def test_the_exhaustive_check_finds_a_planted_fault_too() -> None:
-    found = exhaustive(4, GrantsHeldSlots, faults=1)
-    assert found.broken and isinstance(found.schedule[0], Fault)
+    found = check_exhaustively(4, GrantsHeldSlots, faults=1)
+    assert found.violation and isinstance(found.schedule[0], Fault)
 
 
 def test_without_faults_every_slot_has_a_holder() -> None:
-    world = prepared()
+    world = create_warm_world()
     for _ in range(30):
         world.step([])
-    assert not world.broken and world.idle == 0 and world.looked == 30 * SLOTS
-    assert sorted(slot for host in world.hosts for slot in host.held.slots) == list(range(COUNT))
+    assert not world.violations and world.idle_slot_steps == 0 and world.checked_slot_steps == 30 * SLOT_COUNT
+    assert sorted(slot for host in world.hosts for slot in host.held.slots) == list(range(HOST_COUNT))
 
 
 def holder(voters: tuple[str, ...] = ("a:1",), slots: int = 7, **changes: Any) -> LeaseHolder:
--- a/tests/revision/test_ballots.py
+++ b/tests/revision/test_ballots.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from ladderhub.lab.checker.ballot_processes import Bounds, Parts
-from ladderhub.lab.checker.ballots import at_random, exhaustive
+from ladderhub.lab.checker.ballot_processes import Bounds, CheckedClasses
+from ladderhub.lab.checker.ballots import check_randomly, check_exhaustively
 from ladderhub.revision.ballots import PaxosInstance
 from ladderhub.revision.content import NO_DIGEST, body_digest
 from ladderhub.revision.context import Context
@@ -16,27 +16,27 @@
 
 
 def test_no_schedule_of_two_operators_gives_a_number_two_values() -> None:
-    found = exhaustive(Bounds(numbers=1, ballots=(1, 1)))
-    assert not found.broken, (found.broken, found.trace)
-    assert found.whole and found.states == 2_786
+    found = check_exhaustively(Bounds(numbers=1, ballots=(1, 1)))
+    assert not found.violation, (found.violation, found.trace)
+    assert found.is_complete and found.states == 2_786
     assert len(found.chosen) == 2  # the value of either operator
 
 
 def test_no_schedule_breaks_the_chain_of_two_revisions() -> None:
-    found = exhaustive(Bounds(numbers=2, ballots=(1, 1)))
-    assert not found.broken, (found.broken, found.trace)
-    assert found.whole and len(found.chosen) == 4
+    found = check_exhaustively(Bounds(numbers=2, ballots=(1, 1)))
+    assert not found.violation, (found.violation, found.trace)
+    assert found.is_complete and len(found.chosen) == 4
 
 
 def test_no_schedule_with_proposers_that_start_again_gives_a_number_two_values() -> None:
-    found = exhaustive(Bounds(numbers=1, ballots=(1, 1), restarts=1))
-    assert not found.broken, (found.broken, found.trace)
-    assert found.whole
+    found = check_exhaustively(Bounds(numbers=1, ballots=(1, 1), restarts=1))
+    assert not found.violation, (found.violation, found.trace)
+    assert found.is_complete
 
 
 def test_random_schedules_of_more_ballots_and_lives_hold() -> None:
-    found = at_random(150, seed=3)
-    assert not found.broken, (found.broken, found.trace)
+    found = check_randomly(150, seed=3)
+    assert not found.violation, (found.violation, found.trace)
     assert {number for number, _ in found.chosen} == {1, 2, 3}
 
 
@@ -103,35 +103,36 @@
 
 
 SHALLOW = [
-    Parts(ledger=ForgetsPromises), Parts(ledger=ForgetsAcceptances), Parts(voter=AnswersFirst),
-    Parts(voter=AcceptsBelowItsPromise), Parts(voter=PromisesBelowItsPromise), Parts(voter=HidesAcceptances),
-    Parts(decision=KeepsItsOwnValue),
+    CheckedClasses(ledger=ForgetsPromises), CheckedClasses(ledger=ForgetsAcceptances),
+    CheckedClasses(voter=AnswersFirst), CheckedClasses(voter=AcceptsBelowItsPromise),
+    CheckedClasses(voter=PromisesBelowItsPromise), CheckedClasses(voter=HidesAcceptances),
+    CheckedClasses(decision=KeepsItsOwnValue),
 ]  # fmt: skip
 
 
-def name_of(parts: Parts) -> str:
-    replaced = (parts.ledger, parts.voter, parts.decision)
+def name_of(classes: CheckedClasses) -> str:
+    replaced = (classes.ledger, classes.voter, classes.decision)
     return next(each.__name__ for each in replaced if each.__module__ == __name__)
 
 
-@pytest.mark.parametrize("parts", SHALLOW, ids=name_of)
-def test_the_search_finds_an_injected_fault(parts: Parts) -> None:
-    assert exhaustive(Bounds(states=10_000), parts).broken
+@pytest.mark.parametrize("classes", SHALLOW, ids=name_of)
+def test_the_search_finds_an_injected_fault(classes: CheckedClasses) -> None:
+    assert check_exhaustively(Bounds(states=10_000), classes).violation
 
 
-@pytest.mark.parametrize("parts", SHALLOW[:1] + SHALLOW[-2:], ids=name_of)
-def test_random_schedules_find_an_injected_fault(parts: Parts) -> None:
-    assert at_random(500, 1, parts=parts).broken
+@pytest.mark.parametrize("classes", SHALLOW[:1] + SHALLOW[-2:], ids=name_of)
+def test_random_schedules_find_an_injected_fault(classes: CheckedClasses) -> None:
+    assert check_randomly(500, 1, classes=classes).violation
 
 
 def test_a_proposer_that_takes_the_lowest_value_is_found() -> None:
-    parts = Parts(decision=TakesTheLowestValue)
-    assert at_random(1_500, 2, Bounds(ballots=(3, 3)), parts).broken
+    classes = CheckedClasses(decision=TakesTheLowestValue)
+    assert check_randomly(1_500, 2, Bounds(ballots=(3, 3)), classes).violation
 
 
 def test_a_majority_that_is_one_too_small_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(RevisionSettings, "majority", property(lambda self: len(self.voters) // 2))
-    assert exhaustive(Bounds(states=10_000)).broken
+    assert check_exhaustively(Bounds(states=10_000)).violation
 
 
 def test_a_ballot_that_a_later_life_uses_again_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -142,7 +143,7 @@
         self.proposer_id = int(settings.name[1])
 
     monkeypatch.setattr(Context, "__init__", without_life)
-    assert at_random(1_500, 2, Bounds(ballots=(3, 2), restarts=1)).broken
+    assert check_randomly(1_500, 2, Bounds(ballots=(3, 2), restarts=1)).violation
 
 
 def voter_with(record: Record) -> tuple[Context, Ledger, Voter]:
--- a/tests/revision/test_fleet.py
+++ b/tests/revision/test_fleet.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from ladderhub.lab.checker.schedules import at_random
+from ladderhub.lab.checker.schedules import check_randomly
 from ladderhub.lab.emulator.net import MS, Faults, S
-from ladderhub.lab.emulator.revisions import Play, changes
+from ladderhub.lab.emulator.revisions import RevisionSimulation, simulate_changes
 from ladderhub.revision import Apply, HeadSeen, MessageReceived, Notify, Revisions, RevisionSettings, Tick
 from ladderhub.revision.activation import Activation
 from ladderhub.revision.messages import Head, Header, Headers
@@ -20,7 +20,7 @@
 from ladderhub.revision.voter import Voter
 
 
-class Bench(Play):
+class Bench(RevisionSimulation):
     """A small fleet with a chosen first revision; `refusals` makes members report faults of bodies."""
 
     def __init__(self, count: int = 5, loss: float = 0.0, voters: int = 3) -> None:
@@ -29,7 +29,7 @@
         super().__init__(count, seed=1, faults=faults, voters=voters, body_bytes=3000)
         self.wait(5.0)
 
-    def fault_of(self, host: Any, body: bytes) -> str | None:
+    def find_body_fault(self, host: Any, body: bytes) -> str | None:
         return self.refusals.get((host.name, body))
 
     def wait(self, seconds: float) -> None:
@@ -37,7 +37,7 @@
 
     def ask(self, at: int, body: bytes, parent: bytes | None = None, number: int = 0) -> None:
         request = Apply(number, parent, "ann", "a reason", 1, body)
-        self.hosts[at].feed(request)
+        self.hosts[at].handle_event(request)
 
     def outcome(self, number: int = 0) -> Outcome:
         return self.judge.outcomes[number]
@@ -51,12 +51,12 @@
 
 def test_a_change_is_in_force_everywhere_within_a_second() -> None:
     bench = Bench()
-    assert bench.active() == {1} and not any(host.held for host in bench.hosts.values())
+    assert bench.active() == {1} and not any(host.holds_decisions for host in bench.hosts.values())
     bench.ask(4, b"new", bench.digest())
     bench.wait(1.0)
     outcome = bench.outcome()
     assert isinstance(outcome, Applied) and outcome.header.number == 2 and outcome.silent == ()
-    assert bench.active() == {2} and not bench.judge.broken
+    assert bench.active() == {2} and not bench.judge.violations
 
 
 def test_of_two_operators_at_once_one_is_told_who_won() -> None:
@@ -99,7 +99,7 @@
     bench.wait(1.15)  # chosen without it after a second; the partition is about to end
     host, newest = bench.hosts[4], bench.digest(0)
     assert bench.digest(4) != newest
-    host.feed(HeadSeen(bench.addresses["s0"], bench.hosts[0].revisions.head(bench.net.now)))
+    host.handle_event(HeadSeen(bench.addresses["s0"], bench.hosts[0].revisions.head(bench.net.now)))
     bench.ask(4, b"newer", newest, 2)
     bench.ask(4, b"from nowhere", b"?" * 16, 3)
     bench.wait(2.0)
@@ -163,7 +163,7 @@
         bench.crash(3, 60 * S, actions_left=left)
         bench.wait(6.0)
         living = {host.active[-1] for host in bench.hosts.values() if host.alive}
-        assert living == {max(bench.judge.chosen)} and not bench.judge.broken, left
+        assert living == {max(bench.judge.chosen)} and not bench.judge.violations, left
 
 
 def test_a_late_start_without_or_with_an_old_record_activates_the_newest_before_deciding() -> None:
@@ -176,9 +176,11 @@
     bench.wait(2.001)
     for at in (3, 4):
         host = bench.hosts[at]
-        assert host.alive and host.held
+        assert host.alive and host.holds_decisions
     bench.wait(1.0)
-    assert bench.active() == {11} and not bench.hosts[3].held and not bench.hosts[4].held
+    assert (
+        bench.active() == {11} and not bench.hosts[3].holds_decisions and not bench.hosts[4].holds_decisions
+    )
     assert set(bench.hosts[4].active) <= {1, 11}  # the revision of its previous life, then the newest
 
 
@@ -190,7 +192,7 @@
     bench.wait(3.9)
     assert bench.hosts[4].revisions.is_stale(bench.net.now)
     bench.wait(1.0)
-    assert not bench.hosts[4].held and bench.active() == {2}
+    assert not bench.hosts[4].holds_decisions and bench.active() == {2}
     assert bench.judge.notices[Notice.CAUGHT_UP] == 6
 
 
@@ -206,7 +208,7 @@
 
 def test_a_file_that_differs_from_what_is_in_force_is_told_and_not_followed() -> None:
     bench = Bench()
-    bench.first = b"another file"
+    bench.first_body = b"another file"
     bench.crash(4, S)
     bench.wait(4.0)
     assert bench.judge.notices[Notice.FILE_DIFFERS] == 1
@@ -215,9 +217,9 @@
 
 def test_requests_that_make_no_sense_are_answered() -> None:
     bench = Bench()
-    bench.hosts[0].feed(Apply(1, None, "x" * 65, "", 1, b""))
-    bench.hosts[0].feed(Apply(2, None, "x", "ä" * 101, 1, b""))
-    bench.hosts[0].feed(Apply(3, None, "x", "", 1, bytes(2_000_000)))
+    bench.hosts[0].handle_event(Apply(1, None, "x" * 65, "", 1, b""))
+    bench.hosts[0].handle_event(Apply(2, None, "x", "ä" * 101, 1, b""))
+    bench.hosts[0].handle_event(Apply(3, None, "x", "", 1, bytes(2_000_000)))
     assert all(isinstance(bench.outcome(number), Invalid) for number in (1, 2, 3))
 
 
@@ -228,8 +230,8 @@
     unlinked = (Header(2, digest, "eve", 1, "", bytes(16)), Header(3, digest, "eve", 1, "", bytes(16)))
     orphan = Header(2, bytes(16), "eve", 1, "", bytes(16))
     for headers in ((forged,), unlinked, (orphan,)):
-        host.feed(MessageReceived("s1", 1, Headers(1, headers)))
-    host.feed(HeadSeen("10.0.0.1:7000", Head(1 << 30, bytes(8), 0)))
+        host.handle_event(MessageReceived("s1", 1, Headers(1, headers)))
+    host.handle_event(HeadSeen("10.0.0.1:7000", Head(1 << 30, bytes(8), 0)))
     bench.wait(5.0)
     assert bench.digest(3) == digest and bench.judge.notices[Notice.CONFLICT] == 1
     bench.ask(0, b"new")
@@ -250,7 +252,7 @@
     monkeypatch.setattr(bench.net, "send", counted)
     for _ in range(90):
         bench.wait(0.1)
-        bench.hosts[3].feed(HeadSeen("h:9", Head(1 << 30, bytes(8), 0)))
+        bench.hosts[3].handle_event(HeadSeen("h:9", Head(1 << 30, bytes(8), 0)))
     assert 0 < asked.count("h:9") <= MAX_TRIES
 
 
@@ -260,19 +262,19 @@
     for number in range(4):
         bench.ask(number, b"change %d" % number, None, number)
     bench.wait(4.0)
-    assert bench.active() == {5} and not bench.judge.broken
+    assert bench.active() == {5} and not bench.judge.violations
 
 
 def test_changes_under_faults_are_in_force_in_time_on_all_that_are_reachable() -> None:
     for seed in (1, 2):
-        verdict = changes(16, seed, seconds=20)
-        assert verdict.good(), list(verdict.lines())
-        assert verdict.bytes_s < 6_000
+        verdict = simulate_changes(16, seed, seconds=20)
+        assert verdict.is_good(), list(verdict.lines())
+        assert verdict.bytes_per_s < 6_000
 
 
 def test_random_schedules_of_whole_schedulers_hold() -> None:
-    found = at_random(12, seed=5)
-    assert not found.broken, (found.broken, found.seed)
+    found = check_randomly(12, seed=5)
+    assert not found.violation, (found.violation, found.seed)
 
 
 def test_the_judge_fails_where_a_proposal_is_acted_by(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -288,7 +290,7 @@
     monkeypatch.setattr(Opinions, "on_checked", act)
     bench.ask(0, b"new")
     bench.wait(1.0)
-    assert any("was not chosen" in each for each in bench.judge.broken)
+    assert any("was not chosen" in each for each in bench.judge.violations)
 
 
 def test_the_judge_fails_where_an_older_revision_is_activated_after_a_newer(
@@ -300,8 +302,8 @@
     host = bench.hosts[2]
     activation = host.revisions._activation
     monkeypatch.setattr(Activation, "progress", lambda self: self._activate(bench.judge.chosen[1], b""))
-    host.feed(Tick())
-    assert any("in one life" in each for each in bench.judge.broken) and activation.active is not None
+    host.handle_event(Tick())
+    assert any("in one life" in each for each in bench.judge.violations) and activation.active is not None
 
 
 def lose_a_record() -> Bench:
@@ -323,7 +325,7 @@
     bench = lose_a_record()
     assert isinstance(bench.outcome(1), Applied) and isinstance(bench.outcome(2), NoMajority)
     bench.wait(8.0)
-    assert not bench.judge.broken and bench.active() == {2}
+    assert not bench.judge.violations and bench.active() == {2}
     # The voter that lost its record votes again from the number after the next.
     bench.ask(2, b"another", None, 3)
     bench.wait(3.0)
@@ -332,4 +334,4 @@
 
 def test_the_judge_fails_where_a_voter_votes_without_its_record(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Voter, "_may_vote", lambda self, number: self.is_voter)
-    assert any("chosen twice" in each for each in lose_a_record().judge.broken)
+    assert any("chosen twice" in each for each in lose_a_record().judge.violations)
