--- a/ladderhub/loop/core.py
+++ b/ladderhub/loop/core.py
@@ -21,7 +21,7 @@
 BLOCKED_POLL_NS = 200_000  # a poll that took longer than this has blocked
 # If a poll overruns its time-out by more than this, the process was paused or had no processor.
 STALL_NS = 5_000_000
-Trouble = Callable[[str, BaseException], None]
+Trouble = Callable[[str, BaseException], None]  # gets the kind of callback that failed, and its exception
 
 
 class Timer:
@@ -38,6 +38,7 @@
         self.args = args
 
     def cancel(self) -> None:
+        """Prevent the call; no effect if it has already run."""
         if self.call is not None:
             self.call, self.args = None, ()
             self._loop._count_cancelled()
@@ -72,15 +73,18 @@
     # --- timers -----------------------------------------------------------------------------------------
 
     def call_at(self, at_ns: int, call: Callable[..., object], *args: Any) -> Timer:
+        """Call once the clock has reached `at_ns`."""
         timer = Timer(self, at_ns, call, args)
         self._timers_created += 1
         heapq.heappush(self._timers, (at_ns, self._timers_created, timer))
         return timer
 
     def call_later(self, span_ns: int, call: Callable[..., object], *args: Any) -> Timer:
+        """Call after `span_ns`."""
         return self.call_at(self.now_ns() + span_ns, call, *args)
 
     def call_soon(self, call: Callable[..., object], *args: Any) -> None:
+        """Call at the end of this round, or of the next one if called by such a callback."""
         self._soon.append((call, args))
 
     def unread_ns(self) -> int:
@@ -101,6 +105,7 @@
             self._cancelled_timers = 0
 
     def pending_timers(self) -> int:
+        """Number of timers that have neither run nor been cancelled."""
         return len(self._timers) - self._cancelled_timers
 
     # --- descriptors ------------------------------------------------------------------------------------
@@ -179,11 +184,13 @@
     # --- running ----------------------------------------------------------------------------------------
 
     def run(self) -> None:
+        """Run rounds until `stop` is called."""
         self._running = True
         while self._running:
             self.run_once()
 
     def stop(self) -> None:
+        """Make `run` return after the current round."""
         self._running = False
 
     def run_once(self, max_wait_ns: int = IDLE_WAIT_NS) -> None:
--- a/ladderhub/loop/stream.py
+++ b/ladderhub/loop/stream.py
@@ -78,6 +78,7 @@
         self._watch()
 
     def peer(self) -> str:
+        """Address of the peer as HOST:PORT, or "?"."""
         try:
             host, port = self._socket().getpeername()[:2]
             return f"{host}:{port}"
@@ -159,6 +160,7 @@
             self._watch()
 
     def is_backed_up(self) -> bool:
+        """Whether so many bytes are unsent that reading is paused."""
         return self._out_size > WRITE_HIGH_WATER_BYTES
 
     def close(self) -> None:
--- a/ladderhub/signalling/journal.py
+++ b/ladderhub/signalling/journal.py
@@ -31,6 +31,8 @@
 
 
 class Hosts(msgspec.Struct):
+    """The machines of an event; `snapshot`: it contains the whole list, not only changes."""
+
     snapshot: bool = False
     endpoints: list[msgspec.Raw] = []  # decoded one by one: an invalid row does not invalidate the others
 
@@ -43,6 +45,8 @@
 
 
 class _Named(msgspec.Struct):
+    """Only the name, to identify the machine of a row that is otherwise invalid."""
+
     name: str = ""
 
 
--- a/ladderhub/signalling/setup.py
+++ b/ladderhub/signalling/setup.py
@@ -46,6 +46,7 @@
         self.state = State.IDLE
 
     def can_step(self, step: Step) -> bool:
+        """Whether the step is allowed in the current state."""
         return (self.state, step) in TRANSITIONS
 
     def step(self, step: Step) -> None:
--- a/tests/test_stream_reset.py
+++ b/tests/test_stream_reset.py
@@ -64,7 +64,7 @@
             self.loop.run_once(2_000_000)
 
     def reset_then(self, call: Callable[[], object], last_data: bytes = LAST_DATA) -> None:
-        """Reset by the peer after the round's poll, then `call` in the same round."""
+        """The peer resets after the poll of a round, and `call` runs in the same round."""
 
         def reset_and_call() -> None:
             reset(self.peer, last_data)
