--- a/benchmarks/hollow.py
+++ b/benchmarks/hollow.py
@@ -24,7 +24,7 @@
 
 from ladderhub.lab.fleet import SETTINGS
 from ladderhub.lab.ports import free_port
-from ladderhub.lab.process import module
+from ladderhub.lab.process import build_module_command
 from ladderhub.lab.scale.hollow_schedulers import HollowPlan, HollowResult
 from ladderhub.lab.scale.measure import WHOLE, Counted, counted_on, fetch, gauge_on
 
@@ -59,10 +59,10 @@
         self._directory = f"127.0.0.1:{free_port()}"
 
     def start(self) -> None:
-        self._spawn("directory", module("ladderhub", "directory", "--listen", self._directory))
+        self._spawn("directory", build_module_command("ladderhub", "directory", "--listen", self._directory))
         real = self._total - self._hollow_count
         for at in range(real):
-            self._spawn(f"{NAME}{at}", module("ladderhub", "serve", str(self._settings(at))))
+            self._spawn(f"{NAME}{at}", build_module_command("ladderhub", "serve", str(self._settings(at))))
         for at in range(0, self._hollow_count, HOLLOW_MOST):
             self._start_hollow(at, min(HOLLOW_MOST, self._hollow_count - at))
 
@@ -74,7 +74,7 @@
         )  # fmt: skip
         file, out = self._folder / f"hollow-{first}.json", self._folder / f"hollow-{first}.out"
         file.write_bytes(msgspec.json.encode(plan))
-        argv = module("ladderhub.lab.scale.hollow_schedulers", str(file), str(out))
+        argv = build_module_command("ladderhub.lab.scale.hollow_schedulers", str(file), str(out))
         self._spawn(f"hollow-{first}", argv)
 
     def hollow_results(self) -> list[HollowResult]:
--- a/benchmarks/losses.py
+++ b/benchmarks/losses.py
@@ -27,7 +27,7 @@
 from load_of_site import FAILED, NODES, REPLACED, RESTARTED, RUNNING, SCHEDULERS, Figure, add_figures
 
 from ladderhub.directory.wire import Entry, MessageDecoder, Listed, Register, Room, Watch, encode
-from ladderhub.lab.client import Submission, attributes
+from ladderhub.lab.client import Submission, build_job_attributes
 from ladderhub.lab.emulator.net import MS, Faults, S
 from ladderhub.lab.emulator.membership import Fleet, get_address
 from ladderhub.lab.fleet import Fleet as ProcessFleet
@@ -364,7 +364,7 @@
         fleet.run_until(lambda: fleet.is_up("sched0"), 15 * S)
         run_for(loop, 3)
         for at in range(round(args.running)):
-            attrs = attributes(f"job-{at}", f"service-{at % 50}", 1, 0.5, 600)
+            attrs = build_job_attributes(f"job-{at}", f"service-{at % 50}", 1, 0.5, 600)
             Submission(loop, scheduler.public, "batch", attrs, b"true\n", lambda job, text: None)
             run_for(loop, 0.01)
         run_for(loop, 5)
--- a/benchmarks/rolling_restart.py
+++ b/benchmarks/rolling_restart.py
@@ -23,7 +23,7 @@
 from pathlib import Path
 from typing import Any
 
-from ladderhub.lab.client import BatchClient, Submission, attributes
+from ladderhub.lab.client import BatchClient, Submission, build_job_attributes
 from ladderhub.lab.mesh.days import Step
 from ladderhub.lab.mesh.fleet import Mesh
 from ladderhub.lab.mesh.judge import Verdict, check_leases
@@ -86,7 +86,7 @@
         number = self.random.randrange(SERVICES)
         queue = list(self.fleet.settings["queues"])[number % len(self.fleet.settings["queues"])]
         tenant = self.random.choice(list(self.fleet.settings["tenants"]))
-        attrs = attributes(
+        attrs = build_job_attributes(
             f"job{len(self.jobs)}", f"{queue}-{number}", 1.0, 1.0, self.random.uniform(*LIFE_S), tenant
         )
         name = self.random.choice(list(self.fleet.schedulers))
@@ -125,7 +125,7 @@
         settings["queues"]["web"]["aim"] = "700ms"
         file = self.folder / "changed.json"
         file.write_text(json.dumps(settings))
-        status, text = self.fleet.command("sched0", ["ladderhub", "policy", "apply", str(file)])
+        status, text = self.fleet.run_command("sched0", ["ladderhub", "policy", "apply", str(file)])
         if status:
             raise RuntimeError(f"the change was not applied: {text}")
         self.fleet.run_for(max(0, CHANGE_S * S - (self.loop.now_ns() - start)))
--- a/ladderhub/cli/lab.py
+++ b/ladderhub/cli/lab.py
@@ -17,10 +17,10 @@
 
 
 def _run_scenario(name: str, seed: int, folder: Path | None) -> None:
-    from ladderhub.lab.day import Day, scenario
+    from ladderhub.lab.day import Day, load_scenario
 
     try:
-        plan = scenario(name)
+        plan = load_scenario(name)
     except ValueError as fault:
         raise click.UsageError(str(fault)) from None
     click.echo(f"{plan.name}: {plan.about}; {plan.schedulers} schedulers, {plan.nodes} nodes, seed {seed}")
@@ -199,11 +199,11 @@
 @click.option("--jobs", default=10_000, show_default=True, help="Held jobs for memory and qstat; 0 for none.")
 def load(nodes: int, rate: float, seconds: float, jobs: int) -> None:
     """Measure one daemon: job rate, added delay, memory for each job, qstat, and the start time of qsub."""
-    from ladderhub.lab.load import Bench, start_ratio, weigh
+    from ladderhub.lab.load import LoadTest, measure_held_jobs, measure_start_times
 
-    bench = Bench(nodes)
+    bench = LoadTest(nodes)
     try:
-        stats = bench.load(rate, seconds)
+        stats = bench.run(rate, seconds)
     finally:
         bench.close()
     click.echo(f"{os.cpu_count()} cores here; {nodes} emulated nodes, {rate:g} jobs/s for {seconds:g} s")
@@ -216,12 +216,12 @@
         ("submit to running", stats.start_ms),
     ):  # fmt: skip
         click.echo(f"{name:<28} ms at p50/p99/p99.9: {' / '.join(map(str, values))}")
-    qsub, bare = start_ratio()
+    qsub, bare = measure_start_times()
     click.echo(
         f"qsub starts in {qsub / bare:.2f} times a bare interpreter ({qsub * 1000:.0f}, {bare * 1000:.0f} ms)"
     )
     if jobs:
-        memory = weigh(jobs)
+        memory = measure_held_jobs(jobs)
         click.echo(f"{memory.jobs} held jobs: {memory.bytes_a_job} bytes each")
         click.echo(f"qstat {memory.qstat_s:.2f} s, qstat -f {memory.qstat_full_s:.2f} s")
         click.echo(f"a small request waits at most {memory.held_up_ms:.0f} ms while all jobs are asked for")
@@ -241,7 +241,7 @@
         click.echo(line)
     click.echo(f"{result.seconds:.1f} s; limits, starts and health allow {result.bound_s:.1f} s at best")
     click.echo(f"updates that came to their end: {', '.join(result.ended) or 'none'}")
-    sys.exit(0 if result.good() else 1)
+    sys.exit(0 if result.is_good() else 1)
 
 
 @lab.command()
@@ -250,9 +250,9 @@
 @_FOLDER
 def submits(count: int, seed: int, folder: Path | None) -> None:
     """Submit with real qsub processes to flaky nodes; count answers from the recording and from qstat."""
-    from ladderhub.lab.load import thousand
+    from ladderhub.lab.load import run_submissions
 
-    result = thousand(count, seed, click.echo, keep=folder)
+    result = run_submissions(count, seed, click.echo, keep=folder)
     click.echo(f"acknowledged {result.acknowledged}, commands that failed {result.failed_commands}")
     click.echo(f"by the recording: {result.by_recording}")
     click.echo(f"by qstat:         {result.by_qstat}")
--- a/ladderhub/lab/client.py
+++ b/ladderhub/lab/client.py
@@ -97,7 +97,7 @@
         self._done(job, "no answer" if reply is None else reply.text)
 
 
-def attributes(
+def build_job_attributes(
     name: str, service: str, cpus: float, mem_gb: float, life_s: float, account: str = ""
 ) -> list[Attr]:
     """The attributes of an emulated job."""
--- a/ladderhub/lab/day.py
+++ b/ladderhub/lab/day.py
@@ -16,7 +16,7 @@
 
 from ladderhub.lab import tap
 from ladderhub.lab.auditor import AuditRules, QueueRules, Verdict, audit
-from ladderhub.lab.client import BatchClient, Submission, attributes
+from ladderhub.lab.client import BatchClient, Submission, build_job_attributes
 from ladderhub.lab.fleet import Fleet
 from ladderhub.lab.flaky import FlakyAgent
 from ladderhub.loop import Loop
@@ -59,7 +59,7 @@
     settle: float = 25.0
 
 
-def scenario(name: str) -> Scenario:
+def load_scenario(name: str) -> Scenario:
     """A scenario by the name of its file; ValueError where there is none or it can't be read."""
     import _jsonnet
 
@@ -77,7 +77,7 @@
     return value
 
 
-def audit_rules(settings: dict[str, Any]) -> AuditRules:
+def build_audit_rules(settings: dict[str, Any]) -> AuditRules:
     """The rules in the auditor's terms."""
     queues = {}
     for name, queue in settings["queues"].items():
@@ -152,7 +152,7 @@
             self.fleet.run_for(3 * POLL_NS)
         finally:
             self.fleet.close()
-        verdict = audit(tap.read(self.recording), audit_rules(self.fleet.settings))
+        verdict = audit(tap.read(self.recording), build_audit_rules(self.fleet.settings))
         seconds = (self.loop.now_ns() - start) / S
         return Outcome(verdict, self.submitted, len(self.jobs), self.told, seconds, str(self.recording))
 
@@ -174,7 +174,7 @@
         queue = list(self.fleet.settings["queues"])[number % len(self.fleet.settings["queues"])]
         cpus, mem = self.random.choice(((0.5, 0.5), (1.0, 1.0), (2.0, 2.0)))
         life = self.random.uniform(*self.life)
-        attrs = attributes(
+        attrs = build_job_attributes(
             f"job{self.submitted}", f"{queue}-{number}", cpus, mem, life,
             self.random.choice(list(self.fleet.settings["tenants"])),
         )  # fmt: skip
@@ -210,11 +210,11 @@
         getattr(self, f"do_{fault.kind}")(fault)
 
     def _chosen(self, fault: Fault) -> list[str]:
-        names = [name for name in self.fleet.names() if name in self.fleet.nodes]
+        names = [name for name in self.fleet.get_node_names() if name in self.fleet.nodes]
         if fault.nodes:
             return [name for name in fault.nodes if name in names]
         if fault.rack:
-            return [name for name in names if self.fleet.rack_of(name) == fault.rack]
+            return [name for name in names if self.fleet.get_rack(name) == fault.rack]
         count = max(1, round(fault.share * len(names))) if fault.share else len(names)
         return self.random.sample(names, min(count, len(names)))
 
@@ -331,7 +331,7 @@
 
     def do_grow(self, fault: Fault) -> None:
         """Nodes that were off are switched on, cold."""
-        for name in self.fleet.names():
+        for name in self.fleet.get_node_names():
             if name not in self.fleet.nodes:
                 self.fleet.start_node(name, fresh=True)
 
--- a/ladderhub/lab/demo.py
+++ b/ladderhub/lab/demo.py
@@ -69,36 +69,36 @@
     for title, scripts in steps:
         print(f"# submitted: {title}")
         for text in scripts:
-            status, out = fleet.command(name, ["qsub", "-A", "north"], text)
+            status, out = fleet.run_command(name, ["qsub", "-A", "north"], text)
             print(f"$ qsub   ->  {out.strip()}")
             if status:
                 return 1
             jobs.append(out.strip())
     fleet.run_for(1 * S)
     print("\n# where they were placed")
-    _, out = fleet.command(name, ["qstat", "-n"])
+    _, out = fleet.run_command(name, ["qstat", "-n"])
     print(out)
     print("# one is cancelled")
-    status, out = fleet.command(name, ["qdel", "-v", jobs[0]])
+    status, out = fleet.run_command(name, ["qdel", "-v", jobs[0]])
     print(f"$ qdel {jobs[0]}   ->  {out.strip() or 'done'}\n")
     if status:
         return 1
     print("# no room: every node refuses the tenant «south», and says why")
     for agent in fleet.nodes.values():
         agent.full_for = frozenset({"south"})
-    status, out = fleet.command(
+    status, out = fleet.run_command(
         name, ["qsub", "-A", "south", "-W", "block=true"], script("depot", "mail", "1", "1gb", "sleep 1"),
     )  # fmt: skip
     print(f"$ qsub -W block=true   ->  exit status {status}\n{out.strip()}\n")
     refused = bool(re.search(r"refused: .*no room for south", out))
     print("# asked for more than any node has")
-    status, out = fleet.command(name, ["qsub"], script("huge", "batch", "999", "1gb", "true"))
+    status, out = fleet.run_command(name, ["qsub"], script("huge", "batch", "999", "1gb", "true"))
     print(f"$ qsub   ->  exit status {status}: {out.strip()}\n")
     fleet.run_for(3 * S)
     print("# what became of them")
-    _, out = fleet.command(name, ["qstat", "-x"])
+    _, out = fleet.run_command(name, ["qstat", "-x"])
     print(out)
-    _, table = fleet.command(name, ["qstat", "-x", "-f", "-F", "json"])
+    _, table = fleet.run_command(name, ["qstat", "-x", "-f", "-F", "json"])
     import json
 
     rows = json.loads(table)["Jobs"]
--- a/ladderhub/lab/fleet.py
+++ b/ladderhub/lab/fleet.py
@@ -18,7 +18,7 @@
 from ladderhub.directory.service import Directory
 from ladderhub.lab.flaky import FlakyAgent
 from ladderhub.lab.ports import free_port, own_host
-from ladderhub.lab.process import module
+from ladderhub.lab.process import build_module_command
 from ladderhub.lab.tap import Tap
 from ladderhub.loop import Loop
 from ladderhub.node.admission import NodeSettings
@@ -92,8 +92,8 @@
         self.directory = Directory(loop, (own_host(), 0), list_delay_ns, gone_delay_ns=1 * S)
         self.schedulers: dict[str, SchedulerProcess] = {}
         self.nodes: dict[str, FlakyAgent] = {}
-        self._places: dict[str, tuple[str, str, int, tuple[str, int]]] = {}
-        self._births = 0
+        self._node_plans: dict[str, tuple[str, str, int, tuple[str, int]]] = {}
+        self._start_count = 0
         for at in range(nodes):
             kind = "large" if at % 3 == 1 else "small"
             port = free_port()
@@ -101,19 +101,19 @@
             name = f"node-{at + 1:02d}"
             if self.tap is not None:
                 public = self.tap.add_listener(f"node:{name}", public)
-            self._places[name] = (kind, f"rack-{at % racks + 1}", port, public)
-        self.wanted_schedulers = schedulers
+            self._node_plans[name] = (kind, f"rack-{at % racks + 1}", port, public)
+        self.scheduler_count = schedulers
 
     # --- nodes ----------------------------------------------------------------------------------------------
 
     def start_nodes(self) -> None:
-        for name in self._places:
+        for name in self._node_plans:
             self.start_node(name)
 
     def start_node(self, name: str, fresh: bool = False) -> FlakyAgent:
         """Bring a node up; `fresh` ones are cold."""
-        kind, rack, port, public = self._places[name]
-        self._births += 1
+        kind, rack, port, public = self._node_plans[name]
+        self._start_count += 1
         size = self.settings["kinds"][kind]
         rules, cold = self.settings["nodes"], self.settings["nodes"]["cold"]
         settings = NodeSettings(
@@ -121,7 +121,7 @@
             rules["admit_memory"], cold_pace=cold["pace"],
             cold_span_ns=round(float(cold["span"].removesuffix("s")) * S) if fresh else 0,
         )  # fmt: skip
-        seed = self.seed * 1000 + self._births
+        seed = self.seed * 1000 + self._start_count
         runner: Runner
         if self._runner == "real":
             spool = self.folder / name
@@ -136,7 +136,7 @@
         )  # fmt: skip
         if not fresh:
             # The fleet was up long before the day began.
-            agent.ready_ns = agent.admission.ready_ns = self.loop.now_ns() - 3600 * S + self._births
+            agent.ready_ns = agent.admission.ready_ns = self.loop.now_ns() - 3600 * S + self._start_count
         queues = self.settings["queues"].items()
         agent.keyed = frozenset(queue for queue, rules in queues if rules["effect"] == "keyed")
         agent.peers = self.nodes
@@ -149,16 +149,16 @@
         if back_ns is not None:
             self.loop.call_later(back_ns, self.start_node, name, True)
 
-    def rack_of(self, name: str) -> str:
-        return self._places[name][1]
+    def get_rack(self, name: str) -> str:
+        return self._node_plans[name][1]
 
-    def names(self) -> list[str]:
-        return list(self._places)
+    def get_node_names(self) -> list[str]:
+        return list(self._node_plans)
 
     # --- schedulers -----------------------------------------------------------------------------------------
 
     def start_schedulers(self) -> None:
-        for at in range(self.wanted_schedulers):
+        for at in range(self.scheduler_count):
             self.add_scheduler(at, f"{self._prefix}{at}")
 
     def add_scheduler(self, at: int, name: str, server: str = "") -> None:
@@ -175,7 +175,7 @@
         value = self.settings | {
             "server": server or name, "listen": f"127.0.0.1:{port}", "advertise": "{}:{}".format(*public),
             "directory": "{}:{}".format(*directory), "spool": str(folder), "seed": self.seed + at,
-            "schedulers": self.wanted_schedulers, "ordinal": min(at, self.wanted_schedulers - 1),
+            "schedulers": self.scheduler_count, "ordinal": min(at, self.scheduler_count - 1),
         }  # fmt: skip
         if self._peers is not None:
             value["peers"] = self._peers(at, name)
@@ -187,7 +187,7 @@
         scheduler = self.schedulers[name]
         with open(scheduler.file.with_name("log"), "ab") as log:
             scheduler.process = self.loop.spawn(
-                module("ladderhub", "serve", str(scheduler.file)),
+                build_module_command("ladderhub", "serve", str(scheduler.file)),
                 scheduler.ended.append, stdin=subprocess.DEVNULL, stdout=log, stderr=log,
             )  # fmt: skip
 
@@ -225,7 +225,7 @@
     def start(self) -> None:
         """Everything up and knowing of each other; RuntimeError where that does not come about."""
         self.start_nodes()
-        if not self.run_until(lambda: len(self.directory.entries) >= len(self._places), 5 * S):
+        if not self.run_until(lambda: len(self.directory.entries) >= len(self._node_plans), 5 * S):
             raise RuntimeError("nodes did not register")
         # The list is told late, so what is told first must already hold every node.
         self.run_for(self.directory.delay_ns + 100 * MS)
@@ -234,14 +234,14 @@
             raise RuntimeError("a scheduler did not come up; see " + str(self.folder))
         self.run_for(700 * MS)
 
-    def environment(self, scheduler: str) -> dict[str, str]:
+    def build_environment(self, scheduler: str) -> dict[str, str]:
         host, port = self.schedulers[scheduler].public
         here = os.path.dirname(sys.executable)
         return dict(os.environ) | {
             "PBS_SERVER": f"{host}:{port}", "PATH": here + os.pathsep + os.environ.get("PATH", ""),
         }  # fmt: skip
 
-    def command(
+    def run_command(
         self, scheduler: str, argv: list[str], script: str = "", most_ns: int = 30 * S
     ) -> tuple[int, str]:
         """Run one batch command while the loop turns; its exit status and all that it printed."""
@@ -250,7 +250,7 @@
         with open(path, "wb") as out:
             process = self.loop.spawn(
                 argv, ended.append, stdin=subprocess.PIPE, stdout=out, stderr=out,
-                env=self.environment(scheduler),
+                env=self.build_environment(scheduler),
                 cwd=self.folder,
             )  # fmt: skip
         assert process.stdin is not None
--- a/ladderhub/lab/generator.py
+++ b/ladderhub/lab/generator.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from ladderhub.lab.client import Submission, attributes
+from ladderhub.lab.client import Submission, build_job_attributes
 from ladderhub.loop import Loop
 from ladderhub.loop.stream import Address
 from ladderhub.pbs.batch import Attr
@@ -29,12 +29,12 @@
     jobs: dict[str, tuple[int, int]]
 
 
-def submission(chance: random.Random, life_s: float, held: bool = False) -> tuple[str, list[Attr]]:
+def build_submission(chance: random.Random, life_s: float, held: bool = False) -> tuple[str, list[Attr]]:
     """Queue and attributes of one job of the usual mix."""
     number = chance.randrange(60)
     queue = QUEUES[number % len(QUEUES)]
     cpus = chance.choice((0.25, 0.5, 1.0))
-    attrs = attributes(f"job{number}", f"{queue}-{number}", cpus, cpus, life_s, "north")
+    attrs = build_job_attributes(f"job{number}", f"{queue}-{number}", cpus, cpus, life_s, "north")
     return queue, [*attrs, Attr("Hold_Types", "u")] if held else attrs
 
 
@@ -52,7 +52,7 @@
         following = planned + round(S / rate * chance.expovariate(1.0))
         loop.call_at(following, one, following)
         sent.submitted += 1
-        queue, attrs = submission(chance, chance.uniform(1, 2))
+        queue, attrs = build_submission(chance, chance.uniform(1, 2))
 
         def done(job: str, _: str) -> None:
             nonlocal ended
--- a/ladderhub/lab/load.py
+++ b/ladderhub/lab/load.py
@@ -24,11 +24,11 @@
 from ladderhub.lab import tap
 from ladderhub.lab.auditor import Verdict, audit
 from ladderhub.lab.client import BatchClient, Submission
-from ladderhub.lab.day import audit_rules
+from ladderhub.lab.day import build_audit_rules
 from ladderhub.lab.fleet import Fleet
-from ladderhub.lab.generator import QUEUES, Sent, submission
+from ladderhub.lab.generator import QUEUES, Sent, build_submission
 from ladderhub.lab.nodehost import HostPlan, NodePlan
-from ladderhub.lab.process import module
+from ladderhub.lab.process import build_module_command
 from ladderhub.loop import Loop
 from ladderhub.node.runners import EmulatedSettings
 from ladderhub.pbs.batch import Reply
@@ -38,13 +38,13 @@
 _TICK = os.sysconf("SC_CLK_TCK")
 
 
-def cpu_s(pid: int) -> float:
+def read_cpu_s(pid: int) -> float:
     """User and system time of a process so far."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / _TICK
 
 
-def memory_kib(pid: int) -> int:
+def read_memory_kib(pid: int) -> int:
     """Resident memory of a process."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
@@ -52,7 +52,7 @@
     raise ValueError(f"process {pid} tells no VmRSS")
 
 
-class Load(msgspec.Struct):
+class LoadResult(msgspec.Struct):
     """One run of load.  From the planned moment of a submission (new connection, three requests): `commit_ms`
     to its acknowledgement, `added_ms` to the offer's arrival at its node, which is what the daemon adds to a
     start, `start_ms` to the job's running there.  Quantiles 50, 99 and 99.9."""
@@ -72,7 +72,7 @@
 HOSTS = 4
 
 
-class Bench:
+class LoadTest:
     """A daemon under load, its nodes spread over some processes."""
 
     def __init__(self, nodes: int, seed: int = 1, hosts: int = HOSTS) -> None:
@@ -97,14 +97,14 @@
             )  # fmt: skip
             plan.write_bytes(msgspec.json.encode(mine))
             ended: list[int] = []
-            argv = module("ladderhub.lab.nodehost", str(plan), str(out))
+            argv = build_module_command("ladderhub.lab.nodehost", str(plan), str(out))
             self._hosts.append((self.loop.spawn(argv, ended.append), out, ended))
         if not self.fleet.run_until(lambda: len(self.fleet.directory.entries) == nodes, 20 * S):
             raise RuntimeError("nodes did not register")
         self.fleet.start()
         self.scheduler = self.fleet.schedulers["sched0"]
 
-    def began(self) -> dict[str, tuple[int, int]]:
+    def stop_nodes(self) -> dict[str, tuple[int, int]]:
         """End the nodes: for each job, when its offer came to a node and when it ran there."""
         seen: dict[str, tuple[int, int]] = {}
         for process, out, ended in self._hosts:
@@ -125,25 +125,25 @@
                 process.kill()
         self._folder.cleanup()
 
-    def pid(self) -> int:
+    def get_pid(self) -> int:
         assert self.scheduler.process is not None
         return self.scheduler.process.pid
 
     def submit(self, life_s: float, done: Callable[[str, str], None], held: bool = False) -> None:
-        queue, attrs = submission(self.random, life_s, held)
+        queue, attrs = build_submission(self.random, life_s, held)
         Submission(self.loop, self.scheduler.public, queue, attrs, b"#!/bin/sh\nexec true\n", done)
 
-    def load(self, rate: float, seconds: float) -> Load:
+    def run(self, rate: float, seconds: float) -> LoadResult:
         """Submit at a rate, open loop, and watch every job to its start."""
         commit, start, added = (HdrHistogram(1, 60_000_000, 3) for _ in range(3))
         out = self.folder / "sent.json"
         host, port = self.scheduler.public
         ended: list[int] = []
-        argv = module("ladderhub.lab.generator", host, str(port), str(rate), str(seconds))
+        argv = build_module_command("ladderhub.lab.generator", host, str(port), str(rate), str(seconds))
         self.loop.spawn([*argv, str(self.random.randrange(1 << 30)), str(out)], ended.append)
-        before, at = cpu_s(self.pid()), time.monotonic()
+        before, at = read_cpu_s(self.get_pid()), time.monotonic()
         self.fleet.run_for(round(seconds * S))
-        cores = (cpu_s(self.pid()) - before) / (time.monotonic() - at)
+        cores = (read_cpu_s(self.get_pid()) - before) / (time.monotonic() - at)
         if not self.fleet.run_until(lambda: bool(ended), 30 * S) or ended != [0]:
             raise RuntimeError("the load generator did not end well")
         sent: Sent = msgspec.json.decode(out.read_bytes(), type=Sent)
@@ -163,7 +163,7 @@
 
         self.fleet.run_until(all_told, 30 * S)
         client.close()
-        began = self.began()
+        began = self.stop_nodes()
         for job, (planned, acknowledged) in sent.jobs.items():
             commit.record_value(max(1, (acknowledged - planned) // 1000))
             if job in began:
@@ -171,18 +171,19 @@
                 start.record_value(max(1, (ran - planned) // 1000))
                 added.record_value(max(1, (offered - planned) // 1000))
         words = list(rows.values())
-        return Load(
+        return LoadResult(
             rate, seconds, sent.submitted, words.count("placed"), words.count("refused"),
-            words.count("failed"), round(cores, 3), quantiles(commit), quantiles(start), quantiles(added),
+            words.count("failed"), round(cores, 3), get_quantiles_ms(commit),
+            get_quantiles_ms(start), get_quantiles_ms(added),
         )  # fmt: skip
 
 
-def quantiles(histogram: HdrHistogram) -> list[float]:
+def get_quantiles_ms(histogram: HdrHistogram) -> list[float]:
     """Milliseconds at 50, 99 and 99.9 per cent of a histogram of microseconds."""
     return [round(histogram.get_value_at_percentile(q) / 1000, 2) for q in (50.0, 99.0, 99.9)]
 
 
-class Weight(msgspec.Struct):
+class HeldJobsResult(msgspec.Struct):
     """What many waiting jobs weigh."""
 
     jobs: int
@@ -192,70 +193,72 @@
     held_up_ms: float
 
 
-def weigh(jobs: int) -> Weight:
+def measure_held_jobs(jobs: int) -> HeldJobsResult:
     """`jobs` held jobs in one daemon: memory for each, and how long `qstat` takes."""
-    bench = Bench(3, hosts=1)
+    load_test = LoadTest(3, hosts=1)
     try:
-        bench.fleet.run_for(500 * MS)
-        before = memory_kib(bench.pid())
+        load_test.fleet.run_for(500 * MS)
+        before = read_memory_kib(load_test.get_pid())
         taken: list[str] = []
         count = 0
         while count < jobs:
             for _ in range(min(64, jobs - count)):
-                bench.submit(1, lambda job, _: taken.append(job), held=True)
+                load_test.submit(1, lambda job, _: taken.append(job), held=True)
                 count += 1
-            held = partial(_as_many, taken, count)
-            bench.fleet.run_until(held, 30 * S)
-        after = memory_kib(bench.pid())
+            held = partial(_has_count, taken, count)
+            load_test.fleet.run_until(held, 30 * S)
+        after = read_memory_kib(load_test.get_pid())
         spans = []
         for argv in (["qstat"], ["qstat", "-f"]):
             at = time.monotonic()
-            status, out = bench.fleet.command("sched0", argv, most_ns=120 * S)
+            status, out = load_test.fleet.run_command("sched0", argv, most_ns=120 * S)
             spans.append(time.monotonic() - at)
             if status or out.count("\n") < jobs:
                 raise RuntimeError(f"{argv}: status {status}, {out.count(chr(10))} lines")
-        worst = _held_up(bench)
-        return Weight(jobs, (after - before) * 1024 // jobs, round(spans[0], 3), round(spans[1], 3), worst)
+        worst = _measure_longest_wait_ms(load_test)
+        return HeldJobsResult(
+            jobs, (after - before) * 1024 // jobs, round(spans[0], 3), round(spans[1], 3), worst
+        )
     finally:
-        bench.close()
+        load_test.close()
 
 
-def _as_many(things: list[str], count: int) -> bool:
+def _has_count(things: list[str], count: int) -> bool:
     return len(things) == count
 
 
-def _held_up(bench: Bench) -> float:
+def _measure_longest_wait_ms(load_test: LoadTest) -> float:
     """Longest wait of a small request (ms) while another process asks for everything, five times."""
-    small = BatchClient(bench.loop, bench.scheduler.public)
+    small = BatchClient(load_test.loop, load_test.scheduler.public)
     got: list[int] = []
     ended: list[int] = []
     argv = [str(Path(sys.executable).with_name("qstat")), "-f"]
-    environment = bench.fleet.environment("sched0")
+    environment = load_test.fleet.build_environment("sched0")
 
     def ask() -> None:
-        at = bench.loop.now_ns()
+        at = load_test.loop.now_ns()
 
         def told(_: Reply | None) -> None:
-            got.append(bench.loop.now_ns() - at)
+            got.append(load_test.loop.now_ns() - at)
             if len(ended) < 5:
-                bench.loop.call_later(2 * MS, ask)
+                load_test.loop.call_later(2 * MS, ask)
 
         small.status(told, job="1.sched0", names=("job_state",))
 
     ask()
     for _ in range(5):
         before = len(ended)
-        bench.loop.spawn(argv, ended.append, stdout=subprocess.DEVNULL, env=environment)
-        bench.fleet.run_until(partial(_more, ended, before), 60 * S)
+        load_test.loop.spawn(argv, ended.append, stdout=subprocess.DEVNULL, env=environment)
+        load_test.fleet.run_until(partial(_has_more, ended, before), 60 * S)
     small.close()
     return round(max(got, default=0) / MS, 1)
 
 
-def _more(things: list[int], than: int) -> bool:
+def _has_more(things: list[int], than: int) -> bool:
     return len(things) > than
 
 
-def start_ratio(runs: int = 15) -> tuple[float, float]:
+def measure_start_times(runs: int = 15) -> tuple[float, float]:
     """Median seconds of `qsub --version`-like starts and of a bare interpreter's."""
 
     def median(argv: list[str]) -> float:
@@ -266,10 +269,12 @@
             spans.append(time.monotonic() - at)
         return sorted(spans)[runs // 2]
 
-    return median(module("ladderhub.commands.qsub", "-Z")), median([sys.executable, "-P", "-c", "pass"])
+    return median(build_module_command("ladderhub.commands.qsub", "-Z")), median(
+        [sys.executable, "-P", "-c", "pass"]
+    )
 
 
-class Submits(msgspec.Struct):
+class SubmissionsResult(msgspec.Struct):
     """A run of real `qsub` processes against flaky nodes, counted from the recording and from `qstat`."""
 
     acknowledged: int
@@ -280,9 +285,9 @@
     verdict: Verdict
 
 
-def thousand(
+def run_submissions(
     count: int, seed: int, say: Callable[[str], None], side: int = 8, keep: Path | None = None
-) -> Submits:
+) -> SubmissionsResult:
     """`count` submissions by the real `qsub`, `side` at a time, while nodes lose, cut, repeat and refuse."""
     chance = random.Random(seed)
     loop = Loop()
@@ -342,7 +347,7 @@
                     path.unlink()
 
                 with open(path, "wb") as out:
-                    environment = fleet.environment(scheduler)
+                    environment = fleet.build_environment(scheduler)
                     argv[0] = str(Path(sys.executable).with_name("qsub"))
                     loop.spawn(argv, ended, stdin=subprocess.DEVNULL, stdout=out, stderr=out, env=environment)
 
@@ -356,10 +361,10 @@
             fleet.run_for(1 * S)
         finally:
             fleet.close()
-        verdict = audit(tap.read(folder / "recording.tap"), audit_rules(fleet.settings))
+        verdict = audit(tap.read(folder / "recording.tap"), build_audit_rules(fleet.settings))
     by_qstat: dict[str, int] = {}
     for job in jobs:
         word = told.get(job, "not told")
         by_qstat[word] = by_qstat.get(word, 0) + 1
     agree = by_qstat == verdict.answers and verdict.accepted == len(jobs) and not failed
-    return Submits(len(jobs), len(failed), verdict.answers, by_qstat, agree, verdict)
+    return SubmissionsResult(len(jobs), len(failed), verdict.answers, by_qstat, agree, verdict)
--- a/ladderhub/lab/mesh/changes.py
+++ b/ladderhub/lab/mesh/changes.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ladderhub.lab.client import BatchClient, Submission, attributes
+from ladderhub.lab.client import BatchClient, Submission, build_job_attributes
 from ladderhub.lab.emulator.net import S
 from ladderhub.lab.mesh.days import Day, Step
 from ladderhub.lab.mesh.hollow import PREFIX, HollowPeers
@@ -165,7 +165,7 @@
         queue = queues[number % len(queues)]
         self._submitted += 1
         life = self._random.uniform(*LIFE_S)
-        attrs = attributes(f"job{self._submitted}", f"{queue}-{number}", 0.5, 0.5, life, "north")
+        attrs = build_job_attributes(f"job{self._submitted}", f"{queue}-{number}", 0.5, 0.5, life, "north")
         place = self._random.choice(list(self.fleet.schedulers.values())).public
         Submission(self.loop, place, queue, attrs, b"#!/bin/sh\ntrue\n", lambda job, text: None)
 
--- a/ladderhub/lab/mesh/hollow.py
+++ b/ladderhub/lab/mesh/hollow.py
@@ -10,7 +10,7 @@
 
 from ladderhub.lab.emulator.net import S
 from ladderhub.lab.fleet import Fleet
-from ladderhub.lab.process import module
+from ladderhub.lab.process import build_module_command
 from ladderhub.lab.scale.hollow_schedulers import HollowPlan, HollowResult
 
 PREFIX = "hollow"
@@ -35,7 +35,7 @@
             )  # fmt: skip
             file, out = self._folder / f"hollow-{first}.json", self._folder / f"hollow-{first}.out"
             file.write_bytes(msgspec.json.encode(plan))
-            argv = module("ladderhub.lab.scale.hollow_schedulers", str(file), str(out))
+            argv = build_module_command("ladderhub.lab.scale.hollow_schedulers", str(file), str(out))
             with open(self._folder / f"hollow-{first}.log", "wb") as log:
                 self._processes.append(
                     self._fleet.loop.spawn(argv, lambda status: None, stdout=log, stderr=log)
--- a/ladderhub/lab/process.py
+++ b/ladderhub/lab/process.py
@@ -5,7 +5,7 @@
 import sys
 
 
-def module(name: str, *arguments: str) -> list[str]:
+def build_module_command(name: str, *arguments: str) -> list[str]:
     """The command that runs a module of what is installed.
 
     `-P` keeps the current folder off the import path: a folder `ladderhub` that happens to lie there must not
--- a/ladderhub/lab/scale/children.py
+++ b/ladderhub/lab/scale/children.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from ladderhub.lab.process import module
+from ladderhub.lab.process import build_module_command
 from ladderhub.lab.scale.measure import memory_bytes
 from ladderhub.lab.scale.plan import ScaleError
 
@@ -74,7 +74,9 @@
         self._processes_most, self._memory_most = processes_most, memory_gib_most * _GIB
         self.members: list[Child] = []
         self.most_processes = self.most_memory_bytes = 0
-        self._guard = subprocess.Popen(module("ladderhub.lab.scale.guard"), stdin=subprocess.PIPE)
+        self._guard = subprocess.Popen(
+            build_module_command("ladderhub.lab.scale.guard"), stdin=subprocess.PIPE
+        )
 
     def start(self, name: str, role: str, argv: Sequence[str], brief: bool = False) -> Child:
         """Start a process whose output goes to a log of its own; `ScaleError` where that is one too many."""
--- a/ladderhub/lab/scale/fleet.py
+++ b/ladderhub/lab/scale/fleet.py
@@ -16,7 +16,7 @@
 
 from ladderhub.directory.wire import MessageDecoder, Listed, Watch, encode
 from ladderhub.lab.ports import free_port
-from ladderhub.lab.process import module
+from ladderhub.lab.process import build_module_command
 from ladderhub.lab.scale import settings as tell
 from ladderhub.lab.scale.changes import changed_settings
 from ladderhub.lab.scale.children import Child, Children
@@ -90,7 +90,7 @@
 
     def _start_directory(self) -> None:
         listen, stats = tell.text(self.directory_address), str(self.directory_stats)
-        argv = module("ladderhub", "directory", "--listen", listen, "--stats", stats)
+        argv = build_module_command("ladderhub", "directory", "--listen", listen, "--stats", stats)
         self.children.start("directory", DIRECTORY, argv)
 
     def _start_nodes(self) -> None:
@@ -104,7 +104,7 @@
         file, out = self.folder / f"{name}.plan.json", self.folder / f"{name}.out.json"
         file.write_bytes(msgspec.json.encode(told))
         out.unlink(missing_ok=True)
-        argv = module(f"ladderhub.lab.scale.{module_name}", str(file), str(out))
+        argv = build_module_command(f"ladderhub.lab.scale.{module_name}", str(file), str(out))
         return Helper(self.children.start(name, role, argv), out)
 
     def _start_schedulers(self) -> None:
@@ -116,7 +116,7 @@
             file = folder / "settings.jsonnet"
             file.write_text(json.dumps(self._settings(at, name, listen, http, folder), indent=2))
             role = ELECTOR if at < self.electors else SCHEDULER
-            child = self.children.start(name, role, module("ladderhub", "serve", str(file)))
+            child = self.children.start(name, role, build_module_command("ladderhub", "serve", str(file)))
             self.schedulers.append(RealScheduler(name, listen, http, self._peer_addresses[at], file, child))
 
     def _settings(self, at: int, name: str, listen: Address, http: Address, folder: Path) -> dict[str, Any]:
@@ -208,7 +208,9 @@
         file = self.folder / f"change-{number}.jsonnet"
         settings = json.loads(asked.file.read_text())
         file.write_text(json.dumps(changed_settings(settings, number)))
-        argv = module("ladderhub", "policy", "apply", str(file), "--server", tell.text(asked.listen))
+        argv = build_module_command(
+            "ladderhub", "policy", "apply", str(file), "--server", tell.text(asked.listen)
+        )
         self.changes.append(self.children.start(f"change-{number}", CHANGE, argv, brief=True))
 
     # --- the end ----------------------------------------------------------------------------------------
--- a/ladderhub/lab/scale/load.py
+++ b/ladderhub/lab/scale/load.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from ladderhub.lab.client import Submission, attributes
+from ladderhub.lab.client import Submission, build_job_attributes
 from ladderhub.loop import Loop
 from ladderhub.loop.core import READ
 
@@ -115,7 +115,7 @@
         service = f"{klass.name}-{chance.randrange(klass.services)}"
         life_s = max(plan.life_least_s, chance.expovariate(1.0 / plan.life_s))
         cores, team = chance.choice(klass.cores), chance.choice(plan.teams)
-        attrs = attributes("job", service, cores, klass.memory_gib, life_s, team)
+        attrs = build_job_attributes("job", service, cores, klass.memory_gib, life_s, team)
         target = chance.choice(plan.targets)
         self._pending += 1
 
--- a/ladderhub/lab/scale/measure.py
+++ b/ladderhub/lab/scale/measure.py
@@ -13,7 +13,7 @@
 from prometheus_client.parser import text_string_to_metric_families
 
 from ladderhub.directory.stats import DirectoryStats
-from ladderhub.lab.load import cpu_s
+from ladderhub.lab.load import read_cpu_s
 from ladderhub.usage import traffic as usage
 
 PAGE_S = 10.0
@@ -91,7 +91,13 @@
 def read_process(pid: int, counted: Counted | None = None, connections: float | None = None) -> Reading:
     """A process as the system tells it, beside what it counted itself."""
     return Reading(
-        time.monotonic(), cpu_s(pid), waited_s(pid), memory_bytes(pid), descriptors(pid), counted, connections
+        time.monotonic(),
+        read_cpu_s(pid),
+        waited_s(pid),
+        memory_bytes(pid),
+        descriptors(pid),
+        counted,
+        connections,
     )
 
 
--- a/ladderhub/lab/updates.py
+++ b/ladderhub/lab/updates.py
@@ -18,7 +18,7 @@
 
 from ladderhub.lab import tap
 from ladderhub.lab.auditor import Verdict, audit
-from ladderhub.lab.day import audit_rules
+from ladderhub.lab.day import build_audit_rules
 from ladderhub.lab.fleet import MS, S, Fleet
 from ladderhub.lab.rollout_audit import RolloutVerdict, ServiceLimits, audit_updates
 from ladderhub.loop import Loop
@@ -33,7 +33,7 @@
 }
 
 
-class Update(msgspec.Struct):
+class UpdateResult(msgspec.Struct):
     """What a run brought.  `ended`: services whose update came to its end; seconds are of the wall clock."""
 
     copies: int
@@ -43,11 +43,11 @@
     seconds: float
     bound_s: float  # what limits, starts and health time allow at best
 
-    def good(self) -> bool:
+    def is_good(self) -> bool:
         return self.rules.is_good() and self.limits.is_good() and len(self.ended) == len(SERVICES)
 
 
-def _roomy(settings: dict[str, Any]) -> None:
+def _relax_limits(settings: dict[str, Any]) -> None:
     """Services of many copies need room in each rack, and time: a limit is for the answer, not for a copy."""
     settings["queues"]["web"].pop("spread")
     for queue in settings["queues"].values():
@@ -62,7 +62,7 @@
     say: Callable[[str], None],
     keep: Path | None = None,
     nodes: int = 18,
-) -> Update:
+) -> UpdateResult:
     """Declare the services, update all three, judge.  `faults`: with crashes, losses and a kill."""
     chance = random.Random(seed)
     loop = Loop()
@@ -71,7 +71,7 @@
         folder.mkdir(parents=True, exist_ok=True)
         fleet = Fleet(
             loop, folder, nodes=nodes, schedulers=1, seed=seed, record=folder / "recording.tap",
-            change=_roomy,
+            change=_relax_limits,
             emulated=EmulatedSettings(warm_ns=60 * MS, cold_times=4.0, life_ns=(900 * S, 900 * S)), racks=6,
         )  # fmt: skip
         counts = {service: max(1, round(copies * share)) for service, (_, share, _, _) in SERVICES.items()}
@@ -79,7 +79,7 @@
             fleet.start()
 
             def ask(*argv: str) -> tuple[int, str]:
-                return fleet.command("sched0", ["ladderhub", "rollout", *argv])
+                return fleet.run_command("sched0", ["ladderhub", "rollout", *argv])
 
             def declare(service: str, body: str) -> None:
                 queue, _, down, surplus = SERVICES[service]
@@ -120,7 +120,7 @@
             for service in SERVICES:
                 declare(service, "two\n")
             if faults:
-                _trouble(fleet, chance, say)
+                _inject_faults(fleet, chance, say)
             ended = wait(240)
             seconds = time.monotonic() - begun
             _, last = ask("status")
@@ -138,14 +138,14 @@
         }  # fmt: skip
         path = fleet.tap.path
         limits = audit_updates(tap.read(path), services)
-        rules = audit(tap.read(path), audit_rules(fleet.settings))
+        rules = audit(tap.read(path), build_audit_rules(fleet.settings))
     # A round: the old copy ends, the new one starts, warm at best, and is healthy.
     a_round = 0.06 + HEALTHY_S
     rounds = [-(-counts[service] // (down + surplus)) for service, (_, _, down, surplus) in SERVICES.items()]
-    return Update(sum(counts.values()), rules, limits, ended, seconds, max(rounds) * a_round)
+    return UpdateResult(sum(counts.values()), rules, limits, ended, seconds, max(rounds) * a_round)
 
 
-def _trouble(fleet: Fleet, chance: random.Random, say: Callable[[str], None]) -> None:
+def _inject_faults(fleet: Fleet, chance: random.Random, say: Callable[[str], None]) -> None:
     """A crash, lost answers, a rack that is lost, a scheduler that is killed; all come back."""
     for agent in fleet.nodes.values():
         agent.lose, agent.cut, agent.repeat = 0.03, 0.03, 0.05
@@ -157,9 +157,9 @@
     say("the scheduler is killed and comes back")
     fleet.kill_scheduler("sched0", 300 * MS)
     fleet.run_for(4 * S)
-    racks = sorted({fleet.rack_of(node) for node in fleet.nodes})
+    racks = sorted({fleet.get_rack(node) for node in fleet.nodes})
     rack = chance.choice(racks)
-    lost = [node for node in sorted(fleet.nodes) if fleet.rack_of(node) == rack]
+    lost = [node for node in sorted(fleet.nodes) if fleet.get_rack(node) == rack]
     say(f"{rack} is lost with {', '.join(lost)}, and comes back cold")
     for node in lost:
         fleet.crash_node(node, 4 * S)
--- a/tests/hard_cases/bed.py
+++ b/tests/hard_cases/bed.py
@@ -7,8 +7,8 @@
 
 from ladderhub.lab import tap
 from ladderhub.lab.auditor import audit
-from ladderhub.lab.client import attributes
-from ladderhub.lab.day import audit_rules
+from ladderhub.lab.client import build_job_attributes
+from ladderhub.lab.day import build_audit_rules
 from ladderhub.loop import Stream
 from ladderhub.loop.stream import connect
 from ladderhub.pbs import names as n
@@ -23,7 +23,7 @@
     """Assert that the world's recording passes all five rules of the auditor."""
     assert world.tap is not None
     world.tap.close()
-    verdict = audit(tap.read(world.tap.path), audit_rules(world.settings))
+    verdict = audit(tap.read(world.tap.path), build_audit_rules(world.settings))
     assert verdict.is_good(), verdict.lines()
     assert verdict.checked["no effect twice"]
 
@@ -48,7 +48,9 @@
 
 
 def queue_job() -> Request:
-    return Request(n.QUEUE_JOB, "tester", attrs=attributes("w", "s", 1, 1, 30), destination="billing")
+    return Request(
+        n.QUEUE_JOB, "tester", attrs=build_job_attributes("w", "s", 1, 1, 30), destination="billing"
+    )
 
 
 def exchange_raw(world: World, address: tuple[str, int], sent: bytes) -> list[Reply]:
--- a/tests/hard_cases/test_replies.py
+++ b/tests/hard_cases/test_replies.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from ladderhub.lab.client import BatchClient, attributes
+from ladderhub.lab.client import BatchClient, build_job_attributes
 from ladderhub.pbs import names as n
 from ladderhub.pbs.batch import Attr, Reply, Request, encode_request
 
@@ -24,7 +24,7 @@
     world = make_world(1)
     agent = world.agents["node-1"]
     agent.evaluation_ns = (look_ms * MS, look_ms * MS)
-    attrs = [*attributes("w", "s", 1, 1, 30), Attr("run_version", "1")]
+    attrs = [*build_job_attributes("w", "s", 1, 1, 30), Attr("run_version", "1")]
     offer = Request(n.QUEUE_JOB, job="1.alpha", attrs=attrs)
     half = Request(n.JOB_SCRIPT, job="1.alpha", data=b"x" * (n.MAX_SCRIPT_BYTES // 2 + 1))
     commit, bye = Request(n.COMMIT, job="1.alpha"), Request(n.DISCONNECT)
@@ -52,7 +52,7 @@
     world = make_world(1)
     agent = world.agents["node-1"]
     agent.evaluation_ns = (300 * MS, 300 * MS)
-    attrs = [*attributes("w", "s", 1, 1, 30), Attr("run_version", "1")]
+    attrs = [*build_job_attributes("w", "s", 1, 1, 30), Attr("run_version", "1")]
     first, second = (BatchClient(world.loop, agent.listener.address, "scheduler@alpha") for _ in "ab")
     replies: list[Reply | None] = []
     first.send(Request(n.QUEUE_JOB, job="1.alpha", attrs=attrs), replies.append)
@@ -83,7 +83,11 @@
         assert [reply.code for reply in replies] == codes and "before it ran" in replies[0].text
     # The Commit that follows a refused half of a script must not submit the job.
     half = Request(n.JOB_SCRIPT, job="3.alpha", data=b"x" * (n.MAX_SCRIPT_BYTES // 2 + 1))
-    requests = [Request(n.QUEUE_JOB, attrs=attributes("w", "s", 1, 1, 30), destination="web"), half, half]
+    requests = [
+        Request(n.QUEUE_JOB, attrs=build_job_attributes("w", "s", 1, 1, 30), destination="web"),
+        half,
+        half,
+    ]
     requests += [Request(n.COMMIT, job="3.alpha"), Request(n.DISCONNECT)]
     replies = exchange_raw(world, world.public, b"".join(map(encode_request, requests)))
     assert [reply.code for reply in replies] == [0, 0, n.BAD_SCRIPT, n.UNKNOWN_JOB]
--- a/tests/hard_cases/test_surroundings.py
+++ b/tests/hard_cases/test_surroundings.py
@@ -8,7 +8,7 @@
 
 
 from ladderhub.interface import Action, Event, TaskAsked
-from ladderhub.lab.client import BatchClient, attributes
+from ladderhub.lab.client import BatchClient, build_job_attributes
 from ladderhub.pbs import names as n
 from ladderhub.pbs.batch import Attr, Reply, Request
 
@@ -27,7 +27,9 @@
     client.status(replies.append)
     world.until(lambda: replies)
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    draft = Request(n.QUEUE_JOB, "tester", attrs=attributes("w", "s", 1, 1, 30), destination="billing")
+    draft = Request(
+        n.QUEUE_JOB, "tester", attrs=build_job_attributes("w", "s", 1, 1, 30), destination="billing"
+    )
     client.send(draft, replies.append)
     world.until(lambda: len(replies) == 2)
     reply = replies[1]
--- a/tests/lab/test_hollow_schedulers.py
+++ b/tests/lab/test_hollow_schedulers.py
@@ -16,7 +16,7 @@
 
 from ladderhub.lab.fleet import SETTINGS
 from ladderhub.lab.ports import free_port
-from ladderhub.lab.process import module
+from ladderhub.lab.process import build_module_command
 from ladderhub.lab.scale.hollow_schedulers import HollowPlan, HollowResult, HollowScheduler, Identity
 from ladderhub.loop import Loop, ManualClock
 from ladderhub.peers.wire import Frame, cluster_tag, decode
@@ -157,7 +157,8 @@
         address = "{}:{}".format(*seed.getsockname())
         file.write_bytes(msgspec.json.encode(HollowPlan("test", [address], [address], 5, "1s", "8s", 5, 1)))
         process = subprocess.Popen(
-            module("ladderhub.lab.scale.hollow_schedulers", str(file), str(out)), stderr=subprocess.PIPE
+            build_module_command("ladderhub.lab.scale.hollow_schedulers", str(file), str(out)),
+            stderr=subprocess.PIPE,
         )
         names: set[str] = set()
         while len(names) < 5:
--- a/tests/lab/test_scale_parts.py
+++ b/tests/lab/test_scale_parts.py
@@ -11,7 +11,7 @@
 import msgspec
 import pytest
 
-from ladderhub.lab.process import module
+from ladderhub.lab.process import build_module_command
 from ladderhub.lab.scale.budgets import BudgetVerdict, all_hold, judge, last_line
 from ladderhub.lab.scale.changes import (
     change_figures, change_moments, changed_settings, times_in_force,
@@ -455,7 +455,7 @@
 
 def test_the_guard_ends_what_a_killed_run_left_behind() -> None:
     child = subprocess.Popen([sys.executable, "-c", "import time; time.sleep(600)"])
-    guard = subprocess.Popen(module("ladderhub.lab.scale.guard"), stdin=subprocess.PIPE)
+    guard = subprocess.Popen(build_module_command("ladderhub.lab.scale.guard"), stdin=subprocess.PIPE)
     assert guard.stdin is not None
     guard.stdin.write(f"{child.pid}\n".encode())
     guard.stdin.close()
--- a/tests/server/test_settings_change.py
+++ b/tests/server/test_settings_change.py
@@ -16,8 +16,8 @@
 from ladderhub.interface import Effect
 from ladderhub.lab import tap
 from ladderhub.lab.auditor import audit
-from ladderhub.lab.client import Submission, attributes
-from ladderhub.lab.day import audit_rules
+from ladderhub.lab.client import Submission, build_job_attributes
+from ladderhub.lab.day import build_audit_rules
 from ladderhub.pbs import names as n
 from ladderhub.pbs.batch import Request, Row
 from ladderhub.server.settings import encode_policy
@@ -56,7 +56,7 @@
 def get_refusal(world: World, queue: str, account: str = "north", cpus: float = 1.0) -> str:
     """Submit a job that is refused; return the reason."""
     results: list[tuple[str, str]] = []
-    attrs = attributes("work", queue, cpus, 1.0, 30, account)
+    attrs = build_job_attributes("work", queue, cpus, 1.0, 30, account)
     Submission(world.loop, world.public, queue, attrs, b"true\n", lambda job, why: results.append((job, why)))
     world.until(lambda: results)
     assert not results[0][0]
@@ -270,7 +270,7 @@
     assert answers.count("placed") > len(jobs) // 2
     assert world.tap is not None
     world.tap.close()
-    verdict = audit(tap.read(world.tap.path), audit_rules(world.settings))
+    verdict = audit(tap.read(world.tap.path), build_audit_rules(world.settings))
     assert verdict.is_good(), verdict.lines()
 
 
--- a/tests/test_auditor.py
+++ b/tests/test_auditor.py
@@ -11,7 +11,7 @@
 from ladderhub.directory.wire import MessageDecoder, Listed, encode
 from ladderhub.lab import tap
 from ladderhub.lab.auditor import RULES, AuditRules, Verdict, audit
-from ladderhub.lab.day import audit_rules
+from ladderhub.lab.day import build_audit_rules
 from ladderhub.lab.tap import Record
 from ladderhub.pbs import names as n
 from ladderhub.pbs.batch import Attr, ReplyParser, Request, RequestParser, encode_reply, encode_request
@@ -38,7 +38,7 @@
         world.run_for(6 * S)  # past the queues' limit, so that silence would be told
         for job in jobs:
             world.row(job)
-        rules = audit_rules(world.settings)
+        rules = build_audit_rules(world.settings)
     finally:
         world.close()
     assert world.tap is not None
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -14,7 +14,7 @@
 import pytest
 
 from ladderhub.lab.fleet import MS, S, Fleet
-from ladderhub.lab.process import module
+from ladderhub.lab.process import build_module_command
 from ladderhub.loop import Loop
 from ladderhub.node.runners import EmulatedSettings
 
@@ -42,7 +42,7 @@
 
 
 def run(fleet: Fleet, *argv: str, script: str = "") -> str:
-    status, out = fleet.command("sched0", list(argv), script)
+    status, out = fleet.run_command("sched0", list(argv), script)
     assert status == 0, out
     return out.strip()
 
@@ -107,7 +107,7 @@
         (["pbsnodes", "-o", "node-99"], "", 2, "Unknown node node-99"),
     ]  # fmt: skip
     for argv, script, status, words in cases:
-        got, out = fleet.command("sched0", argv, script)
+        got, out = fleet.run_command("sched0", argv, script)
         assert got == status and words in out and "Traceback" not in out, (argv, got, out)
 
 
@@ -131,7 +131,7 @@
         (["-v", "NOT_SET_ANYWHERE"], 1, "NOT_SET_ANYWHERE is not set in the environment here"),
     ]  # fmt: skip
     for argv, status, words in refused:
-        got, out = fleet.command("sched0", ["qsub", *argv], "true\n")
+        got, out = fleet.run_command("sched0", ["qsub", *argv], "true\n")
         assert got == status and words in out and "Traceback" not in out, (argv, got, out)
     assert run(fleet, "qselect", "-x") == ""
     taken = [
@@ -154,7 +154,7 @@
         (["qalter", "-W", "Hold_Types=u", job], "Read only attribute Hold_Types"),
         (["qdel", "-W", "force", job], "-W force: not served"),
     ):
-        got, out = fleet.command("sched0", argv)
+        got, out = fleet.run_command("sched0", argv)
         assert got == 2 and words in out, (argv, got, out)
     run(fleet, "qalter", "-p", "0", "-r", "n", job)
     assert read_job(fleet, job)["Rerunable"] == "False"
@@ -167,7 +167,7 @@
     )
     script += 'echo $OMP_NUM_THREADS $(cat "$PBS_NODEFILE") $(umask)\nexit $1$CODE\n'
     for code in (0, 7):
-        status, out = real.command(
+        status, out = real.run_command(
             "sched0",
             ["qsub", "-W", "block=true,umask=027", "-v", f"CODE={code},WORDS='a,b=c'", "-N", "n1"],
             script,
@@ -193,17 +193,19 @@
 
 
 def test_a_blocking_submission_returns_the_exit_status_of_its_job(real: Fleet) -> None:
-    status, out = real.command(
+    status, out = real.run_command(
         "sched0", ["qsub", "-W", "block=true", "-j", "oe"], "echo out; echo err >&2; exit 7\n"
     )
     assert status == 7
     number = out.split(".")[0]
     assert (real.folder / f"STDIN.o{number}").read_text() == "out\nerr\n"
     script = "#!/bin/sh\n#PBS -l walltime=1\nsleep 60\n"
-    status, out = real.command("sched0", ["qsub", "-W", "block=true"], script)
+    status, out = real.run_command("sched0", ["qsub", "-W", "block=true"], script)
     assert status == 128 + 15
     big = "#!/bin/sh\n" + "# x\n" * 250_000 + 'echo "$PBS_JOBNAME $PBS_QUEUE $WORD"'  # 1 MB, no last newline
-    status, out = real.command("sched0", ["qsub", "-W", "block=true", "-N", "big", "-v", "WORD=a b,X=1"], big)
+    status, out = real.run_command(
+        "sched0", ["qsub", "-W", "block=true", "-N", "big", "-v", "WORD=a b,X=1"], big
+    )
     assert status == 0
     assert (real.folder / f"big.o{out.split('.')[0]}").read_text() == "big web a b\n"
 
@@ -269,17 +271,17 @@
         if isinstance(value, dict):
             file.write_text(json.dumps(value))
         argument = str(file) if isinstance(value, dict) else value
-        return fleet.command("sched0", ["ladderhub", "rollout", action, argument])
+        return fleet.run_command("sched0", ["ladderhub", "rollout", action, argument])
 
     status, out = rollout("plan", good)
     assert status == 0 and "4 copies of safe work, for the first time" in out, out
     assert "bound by update.down and update.surplus" in out and run(fleet, "qselect") == ""
     status, out = rollout("start", good)
     assert status == 0 and "going  v1" in out, out
-    status, out = fleet.command("sched0", ["ladderhub", "rollout", "status", "orders", "--watch"])
+    status, out = fleet.run_command("sched0", ["ladderhub", "rollout", "status", "orders", "--watch"])
     assert status == 0 and "over   v1: 4 new, 0 old, 0 down, 4 alive of 4" in out, out
     assert len(run(fleet, "qselect", "-s", "R").splitlines()) == 4
-    status, out = fleet.command("sched0", ["ladderhub", "rollout", "start", str(file), "--watch"])
+    status, out = fleet.run_command("sched0", ["ladderhub", "rollout", "start", str(file), "--watch"])
     assert status == 0 and "over   v2: 4 new, 0 old, 0 down, 4 alive of 4" in out, out
     cases: list[tuple[dict[str, Any], int, str]] = [
         (good | {"count": 2}, 2, "count: found 2; at least 4 is meant, as many as run"),
@@ -296,7 +298,9 @@
     assert status == 2 and "no update is under way" in out
     # A second daemon on the same spool folder is refused; the message names the process that holds it.
     scheduler = fleet.schedulers["sched0"]
-    done = subprocess.run(module("ladderhub", "serve", str(scheduler.file)), capture_output=True, text=True)
+    done = subprocess.run(
+        build_module_command("ladderhub", "serve", str(scheduler.file)), capture_output=True, text=True
+    )
     assert scheduler.process is not None
     assert done.returncode == 1 and f"held by the running process {scheduler.process.pid}" in done.stderr
 
@@ -361,6 +365,6 @@
     # The current folder contains another `ladderhub` package.  Every process must run the installed one.
     (tmp_path / "ladderhub").mkdir()
     (tmp_path / "ladderhub" / "__init__.py").write_text("raise SystemExit('the folder here was run')\n")
-    argv = module("ladderhub", "demo")
+    argv = build_module_command("ladderhub", "demo")
     done = subprocess.run(argv, capture_output=True, text=True, timeout=60, cwd=tmp_path)
     assert done.returncode == 0 and "all as it should be" in done.stdout, done.stdout + done.stderr
--- a/tests/test_policy_command.py
+++ b/tests/test_policy_command.py
@@ -13,7 +13,7 @@
 import pytest
 
 from ladderhub.lab.ports import free_port
-from ladderhub.lab.process import module
+from ladderhub.lab.process import build_module_command
 from tests.world import World
 
 POLICY = ("queues", "kinds", "nodes", "tenants", "default_queue", "keep_finished")
@@ -43,7 +43,7 @@
     statuses: list[int] = []
     out = world.folder / "out"
     environment = os.environ | {"PBS_SERVER": server or "{}:{}".format(*world.public), "LOGNAME": "ann"}
-    argv = module("ladderhub", "policy", *arguments)
+    argv = build_module_command("ladderhub", "policy", *arguments)
     with open(out, "wb") as file:
         world.loop.spawn(
             argv, statuses.append, stdin=subprocess.DEVNULL, stdout=file, stderr=file, env=environment
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -10,7 +10,7 @@
 
 from ladderhub.lab import tap
 from ladderhub.lab.auditor import audit
-from ladderhub.lab.day import audit_rules
+from ladderhub.lab.day import build_audit_rules
 from ladderhub.lab.rollout_audit import CHECKS, ServiceLimits, audit_updates
 from ladderhub.lab.tap import Record
 from ladderhub.pbs import names as n
@@ -56,7 +56,7 @@
     assert world.tap is not None
     world.tap.close()
     records = list(tap.read(world.tap.path))
-    verdict = audit(records, audit_rules(world.settings))
+    verdict = audit(records, build_audit_rules(world.settings))
     assert verdict.is_good(), verdict.lines()
     return records
 
--- a/tests/usage/test_traffic.py
+++ b/tests/usage/test_traffic.py
@@ -15,7 +15,7 @@
 from ladderhub.directory.stats import DirectoryStats
 from ladderhub.directory.wire import Entry, Register, Watch, encode
 from ladderhub.lab.ports import free_port
-from ladderhub.lab.process import module
+from ladderhub.lab.process import build_module_command
 from ladderhub.loop import Listener, Loop, Stream
 from ladderhub.usage.accounted import CountedStream, connect_counted
 from ladderhub.usage.traffic import Traffic, TrafficCount, kind_of
@@ -130,7 +130,7 @@
 
 def test_the_directory_writes_its_statistics_when_it_is_ended(tmp_path: Path) -> None:
     port, path = free_port(), tmp_path / "stats.json"
-    argv = module(
+    argv = build_module_command(
         "ladderhub", "directory", "--listen", f"127.0.0.1:{port}", "--delay", "0", "--stats", str(path)
     )
     process = subprocess.Popen(argv, stderr=subprocess.PIPE)
@@ -166,7 +166,7 @@
         }  # fmt: skip
         path, out = tmp_path / "plan.json", tmp_path / "out.json"
         path.write_text(json.dumps(plan))
-        process = subprocess.Popen(module("ladderhub.lab.nodehost", str(path), str(out)))
+        process = subprocess.Popen(build_module_command("ladderhub.lab.nodehost", str(path), str(out)))
         sock, _ = directory.accept()
         lines = sock.makefile("rb")
         first = lines.readline()
--- a/tests/world.py
+++ b/tests/world.py
@@ -13,7 +13,7 @@
 import structlog
 
 from ladderhub.directory.service import Directory
-from ladderhub.lab.client import BatchClient, Submission, attributes
+from ladderhub.lab.client import BatchClient, Submission, build_job_attributes
 from ladderhub.lab.fleet import SETTINGS
 from ladderhub.lab.flaky import FlakyAgent
 from ladderhub.lab.ports import free_port, own_host
@@ -143,7 +143,9 @@
     ) -> str:  # fmt: skip
         """Submit a job and return its identifier."""
         results: list[tuple[str, str]] = []
-        attrs = attributes("work", service or f"{queue}-1", cpus, 1.0, life_s, account) + (extra or [])
+        attrs = build_job_attributes("work", service or f"{queue}-1", cpus, 1.0, life_s, account) + (
+            extra or []
+        )
         Submission(
             self.loop, self.public, queue, attrs, b"#!/bin/sh\ntrue\n", lambda j, w: results.append((j, w))
         )
