--- a/ladderhub/lab/__init__.py
+++ b/ladderhub/lab/__init__.py
@@ -1,6 +1,5 @@
-"""The laboratory: whole fleets on loopback, faults, recordings, the auditor, load.
+"""The laboratory: fleets on loopback, fault injection, recordings, the auditor and load tests.
 
-May import everything; nothing but `cli` imports it.  The auditor shares no state with what it judges: it
-reads
-recorded bytes alone.
+It may import all packages; only `cli` imports it.  The auditor shares no state with the code that it checks:
+it reads only recorded bytes.
 """
--- a/ladderhub/lab/demo.py
+++ b/ladderhub/lab/demo.py
@@ -1,4 +1,4 @@
-"""`ladderhub demo`: the main job in one command."""
+"""`ladderhub demo`: starts a small fleet and shows how jobs are placed, cancelled and refused."""
 
 from __future__ import annotations
 
@@ -13,38 +13,37 @@
 from ladderhub.node.runners import EmulatedSettings
 
 S = 1_000_000_000
-QUICK = EmulatedSettings(warm_ns=40_000_000, cold_times=6.0, life_ns=(2 * S, 3 * S))
-OUTLASTS = (
-    "#PBS -v EMULATE_LIFE=60\n"  # the job that is cancelled runs until then, however slow the machine is
-)
+EMULATED = EmulatedSettings(warm_ns=40_000_000, cold_times=6.0, life_ns=(2 * S, 3 * S))
+LONG_LIFE = "#PBS -v EMULATE_LIFE=60\n"  # on a slow machine the job must still run when it is cancelled
 _SCRIPT = "#!/bin/sh\n#PBS -N {name}\n#PBS -q {queue}\n#PBS -l ncpus={cpus},mem={mem}\n{body}\n"
 
 
-def script(name: str, queue: str, cpus: str, mem: str, body: str) -> str:
+def build_script(name: str, queue: str, cpus: str, mem: str, body: str) -> str:
+    """Build a job script."""
     return _SCRIPT.format(name=name, queue=queue, cpus=cpus, mem=mem, body=body)
 
 
-def _hasten(settings: dict[str, Any]) -> None:
-    """A demo need not wait as long for an answer as people would."""
+def _shorten_limits(settings: dict[str, Any]) -> None:
+    """Shorten the time after which an unplaced job is refused, so that the demo ends soon."""
     settings["queues"]["mail"] |= {"limit": "5s", "deadline": "2s"}
 
 
 def run_demo(keep: bool, schedulers: int) -> int:
-    """Exit status: 0 where all went as it should."""
+    """Run the demo, or with `keep` a fleet until a signal comes; return the exit status, 0 on success."""
     loop = Loop()
     with tempfile.TemporaryDirectory(prefix="ladderhub-demo-") as folder:
         fleet = Fleet(
             loop, Path(folder), nodes=8, schedulers=schedulers, runner="real" if keep else "emulated",
-            emulated=QUICK, change=_hasten,
+            emulated=EMULATED, change=_shorten_limits,
         )  # fmt: skip
         try:
             fleet.start()
-            return _stay(loop, fleet) if keep else _show(fleet)
+            return _serve_until_signal(loop, fleet) if keep else _run_steps(fleet)
         finally:
             fleet.close()
 
 
-def _stay(loop: Loop, fleet: Fleet) -> int:
+def _serve_until_signal(loop: Loop, fleet: Fleet) -> int:
     first = next(iter(fleet.schedulers.values()))
     print("PBS_SERVER={}:{}".format(*first.public), flush=True)
     print(f"{len(fleet.schedulers)} schedulers, {len(fleet.nodes)} nodes; export the line above, then try:")
@@ -55,14 +54,14 @@
     return 0
 
 
-def _show(fleet: Fleet) -> int:
+def _run_steps(fleet: Fleet) -> int:
     name = next(iter(fleet.schedulers))
     print(f"{len(fleet.schedulers)} schedulers, 1 directory, {len(fleet.nodes)} nodes are up on 127.0.0.1\n")
     steps = [
         ("three services, one of them never to be started twice", [
-            script("shop", "web", "1", "2gb", OUTLASTS + "sleep 3"),
-            script("nightly", "batch", "2", "2gb", "sleep 2"),
-            script("invoices", "billing", "1", "2gb", "sleep 3"),
+            build_script("shop", "web", "1", "2gb", LONG_LIFE + "sleep 3"),
+            build_script("nightly", "batch", "2", "2gb", "sleep 2"),
+            build_script("invoices", "billing", "1", "2gb", "sleep 3"),
         ]),
     ]  # fmt: skip
     jobs: list[str] = []
@@ -87,12 +86,13 @@
     for agent in fleet.nodes.values():
         agent.full_for = frozenset({"south"})
     status, out = fleet.run_command(
-        name, ["qsub", "-A", "south", "-W", "block=true"], script("depot", "mail", "1", "1gb", "sleep 1"),
+        name, ["qsub", "-A", "south", "-W", "block=true"],
+        build_script("depot", "mail", "1", "1gb", "sleep 1"),
     )  # fmt: skip
     print(f"$ qsub -W block=true   ->  exit status {status}\n{out.strip()}\n")
     refused = bool(re.search(r"refused: .*no room for south", out))
     print("# asked for more than any node has")
-    status, out = fleet.run_command(name, ["qsub"], script("huge", "batch", "999", "1gb", "true"))
+    status, out = fleet.run_command(name, ["qsub"], build_script("huge", "batch", "999", "1gb", "true"))
     print(f"$ qsub   ->  exit status {status}: {out.strip()}\n")
     fleet.run_for(3 * S)
     print("# what became of them")
@@ -103,8 +103,10 @@
 
     rows = json.loads(table)["Jobs"]
     answers = [rows[job]["placement"] for job in jobs]
-    good = answers == ["placed"] * 3 and refused and status == 2
+    succeeded = answers == ["placed"] * 3 and refused and status == 2
     print(
-        "all as it should be" if good else f"not as it should be: {answers}, refused with reason: {refused}"
+        "all as it should be"
+        if succeeded
+        else f"not as it should be: {answers}, refused with reason: {refused}"
     )
-    return 0 if good else 1
+    return 0 if succeeded else 1
--- a/ladderhub/lab/fleet.py
+++ b/ladderhub/lab/fleet.py
@@ -1,5 +1,4 @@
-"""A whole fleet on loopback: schedulers as processes of their own, nodes and directory on the caller's
-loop."""
+"""A fleet on loopback: each scheduler in its own process, nodes and directory on the caller's loop."""
 
 from __future__ import annotations
 
@@ -62,18 +61,18 @@
 
 @dataclass(slots=True)
 class SchedulerProcess:
-    """One scheduler daemon as a process."""
+    """A scheduler daemon that runs in its own process."""
 
     name: str
     file: Path
     port: int
-    public: tuple[str, int]  # where clients and nodes find it: the tap, where there is one
+    public: tuple[str, int]  # address for clients and nodes; that of the tap if there is one
     process: subprocess.Popen[bytes] | None = None
     ended: list[int] = field(default_factory=list)
 
 
 class Fleet:
-    """Schedulers, a directory and nodes.  Stop it with `close`, whatever happened."""
+    """Schedulers, a directory and nodes.  Callers must call `close`, also after an error."""
 
     def __init__(
         self, loop: Loop, folder: Path, *, nodes: int = 8, schedulers: int = 2, runner: str = "emulated",
@@ -81,13 +80,17 @@
         change: Callable[[dict[str, Any]], None] | None = None, racks: int = 4, list_delay_ns: int = 500 * MS,
         prefix: str = "sched", peers: Callable[[int, str], dict[str, Any]] | None = None,
     ) -> None:  # fmt: skip
-        """`peers` gives the settings of that name for a scheduler by number and name."""
+        """Create the directory and reserve the nodes' addresses; `start` starts the processes.
+
+        `change` may edit the settings, `record` names the file for the recorded traffic, and `peers` returns
+        the `peers` settings of a scheduler by its number and name.
+        """
         self.loop, self.folder, self.seed = loop, folder, seed
         self.settings = copy.deepcopy(SETTINGS)
         if change is not None:
             change(self.settings)
         self._runner, self._emulated = runner, emulated or EmulatedSettings()
-        self._racks, self._prefix, self._peers = racks, prefix, peers
+        self._rack_count, self._prefix, self._peers = racks, prefix, peers
         self.tap = Tap(loop, record) if record is not None else None
         self.directory = Directory(loop, (own_host(), 0), list_delay_ns, gone_delay_ns=1 * S)
         self.schedulers: dict[str, SchedulerProcess] = {}
@@ -107,11 +110,12 @@
     # --- nodes ----------------------------------------------------------------------------------------------
 
     def start_nodes(self) -> None:
+        """Start all nodes, warm."""
         for name in self._node_plans:
             self.start_node(name)
 
     def start_node(self, name: str, fresh: bool = False) -> FlakyAgent:
-        """Bring a node up; `fresh` ones are cold."""
+        """Start a node; a `fresh` one starts cold."""
         kind, rack, port, public = self._node_plans[name]
         self._start_count += 1
         size = self.settings["kinds"][kind]
@@ -135,7 +139,7 @@
             cold_times=self._emulated.cold_times, answers=rules["answers"], seed=seed,
         )  # fmt: skip
         if not fresh:
-            # The fleet was up long before the day began.
+            # Let the node appear to have been up for an hour, so that it is not cold.
             agent.ready_ns = agent.admission.ready_ns = self.loop.now_ns() - 3600 * S + self._start_count
         queues = self.settings["queues"].items()
         agent.keyed = frozenset(queue for queue, rules in queues if rules["effect"] == "keyed")
@@ -144,25 +148,28 @@
         return agent
 
     def crash_node(self, name: str, back_ns: int | None) -> None:
-        """Lose the node with all it ran; it comes back cold."""
+        """Crash a node with all its jobs; restart it cold after `back_ns` if that is given."""
         self.nodes.pop(name).close()
         if back_ns is not None:
             self.loop.call_later(back_ns, self.start_node, name, True)
 
     def get_rack(self, name: str) -> str:
+        """Return the rack of a node."""
         return self._node_plans[name][1]
 
     def get_node_names(self) -> list[str]:
+        """Return the names of all nodes, running or not."""
         return list(self._node_plans)
 
     # --- schedulers -----------------------------------------------------------------------------------------
 
     def start_schedulers(self) -> None:
+        """Add and start all schedulers."""
         for at in range(self.scheduler_count):
             self.add_scheduler(at, f"{self._prefix}{at}")
 
     def add_scheduler(self, at: int, name: str, server: str = "") -> None:
-        """Start one more; `server`: the name it takes where that is not its own."""
+        """Write the settings of a further scheduler and start it; `server` overrides its server name."""
         port = free_port()
         public = ("127.0.0.1", port)
         directory = self.directory.address
@@ -184,6 +191,7 @@
         self.start_scheduler(name)
 
     def start_scheduler(self, name: str) -> None:
+        """Start the process of a scheduler that was added before."""
         scheduler = self.schedulers[name]
         with open(scheduler.file.with_name("log"), "ab") as log:
             scheduler.process = self.loop.spawn(
@@ -192,7 +200,7 @@
             )  # fmt: skip
 
     def kill_scheduler(self, name: str, back_ns: int | None) -> None:
-        """SIGKILL, without a word."""
+        """Kill a scheduler by SIGKILL; restart it after `back_ns` if that is given."""
         process = self.schedulers[name].process
         if process is not None and process.poll() is None:
             process.send_signal(signal.SIGKILL)
@@ -200,6 +208,7 @@
             self.loop.call_later(back_ns, self.start_scheduler, name)
 
     def is_up(self, name: str) -> bool:
+        """Report whether a scheduler accepts connections."""
         try:
             socket.create_connection(("127.0.0.1", self.schedulers[name].port), 0.2).close()
         except OSError:
@@ -209,12 +218,13 @@
     # --- waiting --------------------------------------------------------------------------------------------
 
     def run_for(self, span_ns: int) -> None:
+        """Run the loop for this long."""
         until = self.loop.now_ns() + span_ns
         while self.loop.now_ns() < until:
             self.loop.run_once(min(20 * MS, max(0, until - self.loop.now_ns())))
 
     def run_until(self, done: Callable[[], bool], most_ns: int) -> bool:
-        """Turn the loop until `done` says so; False where time ran out."""
+        """Run the loop until `done` returns true; return False on timeout."""
         until = self.loop.now_ns() + most_ns
         while not done():
             if self.loop.now_ns() >= until:
@@ -223,28 +233,29 @@
         return True
 
     def start(self) -> None:
-        """Everything up and knowing of each other; RuntimeError where that does not come about."""
+        """Start the whole fleet and wait until it is ready; raise RuntimeError on timeout."""
         self.start_nodes()
         if not self.run_until(lambda: len(self.directory.entries) >= len(self._node_plans), 5 * S):
-            raise RuntimeError("nodes did not register")
-        # The list is told late, so what is told first must already hold every node.
+            raise RuntimeError("the nodes did not register at the directory within 5 s")
+        # The directory delays its lists; wait so that the first list already contains every node.
         self.run_for(self.directory.delay_ns + 100 * MS)
         self.start_schedulers()
         if not self.run_until(lambda: all(self.is_up(name) for name in self.schedulers), 15 * S):
-            raise RuntimeError("a scheduler did not come up; see " + str(self.folder))
+            raise RuntimeError(f"a scheduler did not start within 15 s; logs are in {self.folder}")
         self.run_for(700 * MS)
 
     def build_environment(self, scheduler: str) -> dict[str, str]:
+        """Build the environment in which batch commands use a scheduler."""
         host, port = self.schedulers[scheduler].public
-        here = os.path.dirname(sys.executable)
+        bin_folder = os.path.dirname(sys.executable)
         return dict(os.environ) | {
-            "PBS_SERVER": f"{host}:{port}", "PATH": here + os.pathsep + os.environ.get("PATH", ""),
+            "PBS_SERVER": f"{host}:{port}", "PATH": bin_folder + os.pathsep + os.environ.get("PATH", ""),
         }  # fmt: skip
 
     def run_command(
         self, scheduler: str, argv: list[str], script: str = "", most_ns: int = 30 * S
     ) -> tuple[int, str]:
-        """Run one batch command while the loop turns; its exit status and all that it printed."""
+        """Run a batch command while the loop runs; return its exit status and its output."""
         ended: list[int] = []
         path = self.folder / f"out-{os.urandom(4).hex()}"
         with open(path, "wb") as out:
@@ -258,12 +269,13 @@
         process.stdin.close()
         if not self.run_until(lambda: bool(ended), most_ns):
             process.kill()
-            raise RuntimeError(f"{argv[0]} did not end")
+            raise RuntimeError(f"{argv[0]} did not end within {most_ns / S:g} s")
         text = path.read_text()
         path.unlink()
         return ended[0], text
 
     def close(self) -> None:
+        """Stop all schedulers, by SIGKILL if SIGTERM does not suffice, and close nodes, directory and tap."""
         for scheduler in self.schedulers.values():
             if scheduler.process is not None and scheduler.process.poll() is None:
                 scheduler.process.send_signal(signal.SIGTERM)
--- a/ladderhub/lab/load.py
+++ b/ladderhub/lab/load.py
@@ -1,8 +1,7 @@
-"""Load: what one daemon sustains, what it adds to a start, and what its jobs and commands cost.
+"""Load tests of a daemon: its sustained rate, the delay it adds to a start, the cost of jobs and commands.
 
-One scheduler process, emulated nodes in some processes, the load from another.  Figures come from emulated
-work on
-loopback: they tell of the daemon, not of machines.
+One process runs the scheduler, a few run emulated nodes, and another one submits.  Jobs are emulated and all
+traffic is on loopback, so the figures describe the daemon and not the machines.
 """
 
 from __future__ import annotations
@@ -34,28 +33,32 @@
 from ladderhub.pbs.batch import Reply
 
 MS, S = 1_000_000, 1_000_000_000
-QUICK = EmulatedSettings(warm_ns=20 * MS, cold_times=4.0, life_ns=(1 * S, 2 * S))
-_TICK = os.sysconf("SC_CLK_TCK")
+EMULATED = EmulatedSettings(warm_ns=20 * MS, cold_times=4.0, life_ns=(1 * S, 2 * S))
+_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 def read_cpu_s(pid: int) -> float:
-    """User and system time of a process so far."""
+    """Read the user and system time of a process so far, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / _TICK
+    return (int(fields[11]) + int(fields[12])) / _TICKS_PER_S
 
 
 def read_memory_kib(pid: int) -> int:
-    """Resident memory of a process."""
+    """Read the resident memory of a process, in KiB."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
             return int(line.split()[1])
-    raise ValueError(f"process {pid} tells no VmRSS")
+    raise ValueError(f"/proc/{pid}/status has no line VmRSS")
 
 
 class LoadResult(msgspec.Struct):
-    """One run of load.  From the planned moment of a submission (new connection, three requests): `commit_ms`
-    to its acknowledgement, `added_ms` to the offer's arrival at its node, which is what the daemon adds to a
-    start, `start_ms` to the job's running there.  Quantiles 50, 99 and 99.9."""
+    """The result of one load test.
+
+    Delays are counted from the planned time of a submission (a new connection and three requests):
+    `commit_ms` until its acknowledgement, `added_ms` until its offer arrives at the node, which is the delay
+    that the daemon adds to a start, and `start_ms` until the job runs.  Each holds the percentiles 50, 99 and
+    99.9.
+    """
 
     rate: float
     seconds: float
@@ -69,11 +72,11 @@
     added_ms: list[float]
 
 
-HOSTS = 4
+HOSTS = 4  # processes over which the nodes are spread
 
 
 class LoadTest:
-    """A daemon under load, its nodes spread over some processes."""
+    """A daemon under load, with its nodes spread over `hosts` processes."""
 
     def __init__(self, nodes: int, seed: int = 1, hosts: int = HOSTS) -> None:
         self._folder = tempfile.TemporaryDirectory(prefix="ladderhub-load-")
@@ -91,27 +94,27 @@
             plans.append(NodePlan(f"node-{at:03d}", kind, size["cores"], memory, f"rack-{at % 9}", seed + at))
         for host in range(hosts):
             plan, out = self.folder / f"host-{host}.json", self.folder / f"host-{host}.out"
-            mine = HostPlan(
+            host_plan = HostPlan(
                 self.fleet.directory.address, plans[host::hosts], rules["admit_cores"], rules["admit_memory"],
-                QUICK.warm_ns, QUICK.cold_times,
+                EMULATED.warm_ns, EMULATED.cold_times,
             )  # fmt: skip
-            plan.write_bytes(msgspec.json.encode(mine))
+            plan.write_bytes(msgspec.json.encode(host_plan))
             ended: list[int] = []
             argv = build_module_command("ladderhub.lab.nodehost", str(plan), str(out))
             self._hosts.append((self.loop.spawn(argv, ended.append), out, ended))
         if not self.fleet.run_until(lambda: len(self.fleet.directory.entries) == nodes, 20 * S):
-            raise RuntimeError("nodes did not register")
+            raise RuntimeError(f"{nodes} nodes did not register at the directory within 20 s")
         self.fleet.start()
         self.scheduler = self.fleet.schedulers["sched0"]
 
     def stop_nodes(self) -> dict[str, tuple[int, int]]:
-        """End the nodes: for each job, when its offer came to a node and when it ran there."""
+        """Stop the nodes; return for each job the times (ns) of its offer at a node and of its start."""
         seen: dict[str, tuple[int, int]] = {}
         for process, out, ended in self._hosts:
             if process.poll() is None:
                 process.send_signal(signal.SIGTERM)
             if not self.fleet.run_until(partial(bool, ended), 10 * S):
-                raise RuntimeError("a process of nodes did not end")
+                raise RuntimeError("a node process did not end within 10 s of SIGTERM")
             found: dict[str, tuple[int, int]] = msgspec.json.decode(
                 out.read_bytes(), type=dict[str, tuple[int, int]]
             )
@@ -119,6 +122,7 @@
         return seen
 
     def close(self) -> None:
+        """Stop all processes and remove the files."""
         self.fleet.close()
         for process, _, _ in self._hosts:
             if process.poll() is None:
@@ -126,15 +130,17 @@
         self._folder.cleanup()
 
     def get_pid(self) -> int:
+        """Return the process number of the daemon."""
         assert self.scheduler.process is not None
         return self.scheduler.process.pid
 
-    def submit(self, life_s: float, done: Callable[[str, str], None], held: bool = False) -> None:
+    def submit(self, life_s: float, on_done: Callable[[str, str], None], held: bool = False) -> None:
+        """Submit a random job; `on_done` is called as for `Submission`."""
         queue, attrs = build_submission(self.random, life_s, held)
-        Submission(self.loop, self.scheduler.public, queue, attrs, b"#!/bin/sh\nexec true\n", done)
+        Submission(self.loop, self.scheduler.public, queue, attrs, b"#!/bin/sh\nexec true\n", on_done)
 
     def run(self, rate: float, seconds: float) -> LoadResult:
-        """Submit at a rate, open loop, and watch every job to its start."""
+        """Submit jobs in an open loop and measure the delay of each until its start."""
         commit, start, added = (HdrHistogram(1, 60_000_000, 3) for _ in range(3))
         out = self.folder / "sent.json"
         host, port = self.scheduler.public
@@ -145,23 +151,23 @@
         self.fleet.run_for(round(seconds * S))
         cores = (read_cpu_s(self.get_pid()) - before) / (time.monotonic() - at)
         if not self.fleet.run_until(lambda: bool(ended), 30 * S) or ended != [0]:
-            raise RuntimeError("the load generator did not end well")
+            raise RuntimeError(f"the load generator failed or did not end within 30 s: exit status {ended}")
         sent: Sent = msgspec.json.decode(out.read_bytes(), type=Sent)
         rows: dict[str, str] = {}
         client = BatchClient(self.loop, self.scheduler.public)
 
-        def told(reply: Reply | None) -> None:
+        def on_reply(reply: Reply | None) -> None:
             for row in reply.rows if reply else ():
                 if row.get("placement"):
                     rows[row.name] = row.get("placement")
 
-        def all_told() -> bool:
+        def has_all_answers() -> bool:
             if len(rows) < len(sent.jobs):
-                client.status(told, names=("placement",))
+                client.status(on_reply, names=("placement",))
                 self.fleet.run_for(300 * MS)
             return len(rows) >= len(sent.jobs)
 
-        self.fleet.run_until(all_told, 30 * S)
+        self.fleet.run_until(has_all_answers, 30 * S)
         client.close()
         began = self.stop_nodes()
         for job, (planned, acknowledged) in sent.jobs.items():
@@ -170,21 +176,21 @@
                 offered, ran = began[job]
                 start.record_value(max(1, (ran - planned) // 1000))
                 added.record_value(max(1, (offered - planned) // 1000))
-        words = list(rows.values())
+        answers = list(rows.values())
         return LoadResult(
-            rate, seconds, sent.submitted, words.count("placed"), words.count("refused"),
-            words.count("failed"), round(cores, 3), get_quantiles_ms(commit),
+            rate, seconds, sent.submitted, answers.count("placed"), answers.count("refused"),
+            answers.count("failed"), round(cores, 3), get_quantiles_ms(commit),
             get_quantiles_ms(start), get_quantiles_ms(added),
         )  # fmt: skip
 
 
 def get_quantiles_ms(histogram: HdrHistogram) -> list[float]:
-    """Milliseconds at 50, 99 and 99.9 per cent of a histogram of microseconds."""
+    """Return the percentiles 50, 99 and 99.9 in milliseconds of a histogram of microseconds."""
     return [round(histogram.get_value_at_percentile(q) / 1000, 2) for q in (50.0, 99.0, 99.9)]
 
 
 class HeldJobsResult(msgspec.Struct):
-    """What many waiting jobs weigh."""
+    """The cost of many held jobs in one daemon."""
 
     jobs: int
     bytes_a_job: int
@@ -194,7 +200,7 @@
 
 
 def measure_held_jobs(jobs: int) -> HeldJobsResult:
-    """`jobs` held jobs in one daemon: memory for each, and how long `qstat` takes."""
+    """Measure the memory of each of `jobs` held jobs in one daemon, and the duration of `qstat`."""
     load_test = LoadTest(3, hosts=1)
     try:
         load_test.fleet.run_for(500 * MS)
@@ -215,9 +221,9 @@
             spans.append(time.monotonic() - at)
             if status or out.count("\n") < jobs:
                 raise RuntimeError(f"{argv}: status {status}, {out.count(chr(10))} lines")
-        worst = _measure_longest_wait_ms(load_test)
+        longest_wait_ms = _measure_longest_wait_ms(load_test)
         return HeldJobsResult(
-            jobs, (after - before) * 1024 // jobs, round(spans[0], 3), round(spans[1], 3), worst
+            jobs, (after - before) * 1024 // jobs, round(spans[0], 3), round(spans[1], 3), longest_wait_ms
         )
     finally:
         load_test.close()
@@ -228,8 +234,8 @@
 
 
 def _measure_longest_wait_ms(load_test: LoadTest) -> float:
-    """Longest wait of a small request (ms) while another process asks for everything, five times."""
-    small = BatchClient(load_test.loop, load_test.scheduler.public)
+    """Measure the longest wait of a small request while `qstat -f` lists all jobs five times."""
+    client = BatchClient(load_test.loop, load_test.scheduler.public)
     got: list[int] = []
     ended: list[int] = []
     argv = [str(Path(sys.executable).with_name("qstat")), "-f"]
@@ -238,19 +244,19 @@
     def ask() -> None:
         at = load_test.loop.now_ns()
 
-        def told(_: Reply | None) -> None:
+        def on_reply(_: Reply | None) -> None:
             got.append(load_test.loop.now_ns() - at)
             if len(ended) < 5:
                 load_test.loop.call_later(2 * MS, ask)
 
-        small.status(told, job="1.sched0", names=("job_state",))
+        client.status(on_reply, job="1.sched0", names=("job_state",))
 
     ask()
     for _ in range(5):
         before = len(ended)
         load_test.loop.spawn(argv, ended.append, stdout=subprocess.DEVNULL, env=environment)
         load_test.fleet.run_until(partial(_has_more, ended, before), 60 * S)
-    small.close()
+    client.close()
     return round(max(got, default=0) / MS, 1)
 
 
@@ -259,7 +265,7 @@
 
 
 def measure_start_times(runs: int = 15) -> tuple[float, float]:
-    """Median seconds of `qsub --version`-like starts and of a bare interpreter's."""
+    """Measure the median seconds of a start of `qsub` with an invalid option, and of a bare interpreter."""
 
     def median(argv: list[str]) -> float:
         spans = []
@@ -275,7 +281,7 @@
 
 
 class SubmissionsResult(msgspec.Struct):
-    """A run of real `qsub` processes against flaky nodes, counted from the recording and from `qstat`."""
+    """The result of a run of real `qsub` processes: answers counted in the recording and in `qstat`."""
 
     acknowledged: int
     failed_commands: int
@@ -286,10 +292,13 @@
 
 
 def run_submissions(
-    count: int, seed: int, say: Callable[[str], None], side: int = 8, keep: Path | None = None
+    count: int, seed: int, report: Callable[[str], None], concurrency: int = 8, keep: Path | None = None
 ) -> SubmissionsResult:
-    """`count` submissions by the real `qsub`, `side` at a time, while nodes lose, cut, repeat and refuse."""
-    chance = random.Random(seed)
+    """Submit `count` jobs by real `qsub` processes, `concurrency` at a time, to nodes with faults.
+
+    Nodes lose, truncate and repeat replies, and some wrongly refuse one tenant.
+    """
+    rng = random.Random(seed)
     loop = Loop()
     with tempfile.TemporaryDirectory(prefix="ladderhub-submits-") as name:
         folder = keep or Path(name)
@@ -302,26 +311,26 @@
             fleet.start()
             for at, agent in enumerate(fleet.nodes.values()):
                 agent.lose, agent.cut, agent.repeat = 0.05, 0.05, 0.1
-                # The nodes that billing needs turn one tenant away, wrongly; so does every fourth other one.
-                wrong = agent.settings.kind == "large" or at % 4 == 0
-                agent.full_for = frozenset({"south"}) if wrong else frozenset()
-            silent = next(agent for agent in fleet.nodes.values() if agent.settings.kind == "large")
-            loop.call_later(3 * S, silent.stall, 60 * S)
+                # All large nodes, which billing needs, and every fourth other node wrongly refuse one tenant.
+                refuses = agent.settings.kind == "large" or at % 4 == 0
+                agent.full_for = frozenset({"south"}) if refuses else frozenset()
+            stalled = next(agent for agent in fleet.nodes.values() if agent.settings.kind == "large")
+            loop.call_later(3 * S, stalled.stall, 60 * S)
             jobs: list[str] = []
             failed: list[str] = []
             running = 0
             begun = 0
             pollers = {n: BatchClient(loop, s.public, "poller") for n, s in fleet.schedulers.items()}
-            told: dict[str, str] = {}
+            answers: dict[str, str] = {}
 
             def poll(scheduler: str) -> None:
-                def heard(reply: Reply | None) -> None:
+                def on_reply(reply: Reply | None) -> None:
                     for row in reply.rows if reply else ():
                         if row.get("placement"):
-                            told[row.name] = row.get("placement")
+                            answers[row.name] = row.get("placement")
                     loop.call_later(400 * MS, poll, scheduler)
 
-                pollers[scheduler].status(heard, names=("placement",))
+                pollers[scheduler].status(on_reply, names=("placement",))
 
             for scheduler in fleet.schedulers:
                 poll(scheduler)
@@ -331,15 +340,15 @@
                 begun += 1
                 running += 1
                 path = folder / f"out-{begun}"
-                scheduler = chance.choice(list(fleet.schedulers))
-                number = chance.randrange(12)
+                scheduler = rng.choice(list(fleet.schedulers))
+                number = rng.randrange(12)
                 queue = QUEUES[number % len(QUEUES)]
                 argv = [
-                    "qsub", "-q", queue, "-N", f"{queue}-{number}", "-A", chance.choice(("north", "south")),
+                    "qsub", "-q", queue, "-N", f"{queue}-{number}", "-A", rng.choice(("north", "south")),
                     "-l", "ncpus=1,mem=1gb", str(folder / "job.sh"),
                 ]  # fmt: skip
 
-                def ended(status: int) -> None:
+                def on_ended(status: int) -> None:
                     nonlocal running
                     running -= 1
                     text = path.read_text().strip()
@@ -349,22 +358,24 @@
                 with open(path, "wb") as out:
                     environment = fleet.build_environment(scheduler)
                     argv[0] = str(Path(sys.executable).with_name("qsub"))
-                    loop.spawn(argv, ended, stdin=subprocess.DEVNULL, stdout=out, stderr=out, env=environment)
+                    loop.spawn(
+                        argv, on_ended, stdin=subprocess.DEVNULL, stdout=out, stderr=out, env=environment
+                    )
 
             (folder / "job.sh").write_text("#!/bin/sh\n#PBS -j oe\nexec true\n")
             while begun < count or running:
-                while running < side and begun < count:
+                while running < concurrency and begun < count:
                     begin()
                 loop.run_once(10 * MS)
-            say(f"{len(jobs)} of {count} acknowledged; settling")
-            fleet.run_until(lambda: all(job in told for job in jobs), 60 * S)
+            report(f"{len(jobs)} of {count} acknowledged; settling")
+            fleet.run_until(lambda: all(job in answers for job in jobs), 60 * S)
             fleet.run_for(1 * S)
         finally:
             fleet.close()
         verdict = audit(tap.read(folder / "recording.tap"), build_audit_rules(fleet.settings))
     by_qstat: dict[str, int] = {}
     for job in jobs:
-        word = told.get(job, "not told")
-        by_qstat[word] = by_qstat.get(word, 0) + 1
+        answer = answers.get(job, "not told")
+        by_qstat[answer] = by_qstat.get(answer, 0) + 1
     agree = by_qstat == verdict.answers and verdict.accepted == len(jobs) and not failed
     return SubmissionsResult(len(jobs), len(failed), verdict.answers, by_qstat, agree, verdict)
--- a/ladderhub/lab/nodehost.py
+++ b/ladderhub/lab/nodehost.py
@@ -1,7 +1,8 @@
-"""Some emulated nodes in a process of their own, so that many of them do not wait for each other's turn.
+"""Emulated nodes in their own process, so that many nodes do not wait for each other's callbacks.
 
 `python -m ladderhub.lab.nodehost PLAN OUT` starts the nodes of the JSON file PLAN and, on SIGTERM, writes to
-OUT for each job when its offer came and when it ran (ns), and to OUT.stats what the process spent.
+OUT for each job the times of its offer and of its start (ns), and to OUT.stats the resources that the process
+used.
 """
 
 from __future__ import annotations
@@ -25,6 +26,8 @@
 
 
 class NodePlan(msgspec.Struct):
+    """One emulated node."""
+
     name: str
     kind: str
     cores: float
@@ -45,7 +48,10 @@
 
 
 class HostStats(msgspec.Struct):
-    """`traffic` by kind of peer: scheduler, directory; `starts` are jobs that ran."""
+    """Resources that the process used.
+
+    `traffic` is keyed by the kind of peer, scheduler or directory; `starts` counts the jobs that ran.
+    """
 
     processor_seconds: float
     traffic: dict[str, TrafficRow]
@@ -53,8 +59,8 @@
     starts: int
 
 
-class WatchedAgent(Agent):
-    """An agent that notes when an offer came and when its job ran."""
+class RecordingAgent(Agent):
+    """An agent that records when the first offer of a job arrived and when the job started."""
 
     came: dict[str, int]
     ran: dict[str, int]
@@ -77,7 +83,7 @@
     emulated = EmulatedSettings(plan.warm_ns, plan.cold_times)
     for node in plan.nodes:
         settings = NodeSettings(node.cores, node.memory, node.kind, plan.admit_cores, plan.admit_memory)
-        agent = WatchedAgent(
+        agent = RecordingAgent(
             loop, node.name, settings, EmulatedRunner(loop, emulated, node.seed), directory=plan.directory,
             rack=node.rack, evaluation_ns=(4_000_000, 15_000_000), cold_times=plan.cold_times, seed=node.seed,
             traffic=traffic,
--- a/ladderhub/lab/process.py
+++ b/ladderhub/lab/process.py
@@ -1,4 +1,4 @@
-"""How the laboratory starts Python processes of the project."""
+"""Command lines for Python processes of the project."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 
 def build_module_command(name: str, *arguments: str) -> list[str]:
-    """The command that runs a module of what is installed.
+    """Build the command that runs an installed module.
 
-    `-P` keeps the current folder off the import path: a folder `ladderhub` that happens to lie there must not
-    be run instead."""
+    `-P` keeps the current folder off the import path, so that a folder `ladderhub` there is not run instead.
+    """
     return [sys.executable, "-P", "-m", name, *arguments]
--- a/ladderhub/lab/updates.py
+++ b/ladderhub/lab/updates.py
@@ -1,7 +1,7 @@
-"""A stand-in update of two hundred copies on real sockets, with faults, judged from the recording.
+"""Runs service updates on real sockets, with faults, and audits the recording.
 
-Three services, one of each class, are updated at the same time while nodes crash and come back cold, a rack
-is lost, answers are lost, and the scheduler that runs the updates is killed.
+Three services, one of each class, are updated at the same time while nodes crash and restart cold, a rack is
+lost, replies are lost, and the scheduler that runs the updates is killed.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from ladderhub.node.runners import EmulatedSettings
 
 HEALTHY_S = 1.0
-# service -> queue, share of all copies, most down, surplus
+# service -> queue, share of all copies, most copies down, surplus copies
 SERVICES = {
     "orders": ("web", 0.5, 10, 5),
     "reports": ("mail", 0.3, 6, 0),
@@ -34,21 +34,26 @@
 
 
 class UpdateResult(msgspec.Struct):
-    """What a run brought.  `ended`: services whose update came to its end; seconds are of the wall clock."""
+    """The result of a run.  `ended` lists services whose update ended; `seconds` is wall-clock time."""
 
     copies: int
     rules: Verdict
     limits: RolloutVerdict
     ended: list[str]
     seconds: float
-    bound_s: float  # what limits, starts and health time allow at best
+    bound_s: float  # shortest time that limits, starts and the health time allow
 
     def is_good(self) -> bool:
+        """Report whether all updates ended and no rule or limit was broken."""
         return self.rules.is_good() and self.limits.is_good() and len(self.ended) == len(SERVICES)
 
 
 def _relax_limits(settings: dict[str, Any]) -> None:
-    """Services of many copies need room in each rack, and time: a limit is for the answer, not for a copy."""
+    """Change settings so that services of many copies fit.
+
+    Without the spread rule and quotas a service finds room in each rack.  The longer limit bounds the answer
+    to a job and not its run.
+    """
     settings["queues"]["web"].pop("spread")
     for queue in settings["queues"].values():
         queue["limit"] = "30s"
@@ -59,12 +64,12 @@
     copies: int,
     seed: int,
     faults: bool,
-    say: Callable[[str], None],
+    report: Callable[[str], None],
     keep: Path | None = None,
     nodes: int = 18,
 ) -> UpdateResult:
-    """Declare the services, update all three, judge.  `faults`: with crashes, losses and a kill."""
-    chance = random.Random(seed)
+    """Declare the services, update all three and audit the recording; `faults` turns faults on."""
+    rng = random.Random(seed)
     loop = Loop()
     with tempfile.TemporaryDirectory(prefix="ladderhub-updates-") as name:
         folder = keep or Path(name)
@@ -78,7 +83,7 @@
         try:
             fleet.start()
 
-            def ask(*argv: str) -> tuple[int, str]:
+            def run_rollout(*argv: str) -> tuple[int, str]:
                 return fleet.run_command("sched0", ["ladderhub", "rollout", *argv])
 
             def declare(service: str, body: str) -> None:
@@ -95,37 +100,37 @@
                     "resources": {"ncpus": 1, "mem": "512mb"}, "variables": {"EMULATE_LIFE": "900"},
                     "update": update,
                 }))  # fmt: skip
-                status, out = ask("start", str(file))
+                status, out = run_rollout("start", str(file))
                 if status:
                     raise RuntimeError(out)
 
-            def over() -> list[str]:
-                status, out = ask("status")
+            def list_ended() -> list[str]:
+                status, out = run_rollout("status")
                 return [] if status else [line.split()[0] for line in out.splitlines() if "] over" in line]
 
-            def wait(most_s: float) -> list[str]:
+            def wait_for_end(most_s: float) -> list[str]:
                 until = time.monotonic() + most_s
                 ended: list[str] = []
                 while len(ended) < len(SERVICES) and time.monotonic() < until:
                     fleet.run_for(300 * MS)
-                    ended = over() if fleet.is_up("sched0") else []
+                    ended = list_ended() if fleet.is_up("sched0") else []
                 return ended
 
             for service in SERVICES:
                 declare(service, "one\n")
-            if len(wait(120)) < len(SERVICES):
-                raise RuntimeError("the services did not come up: " + ask("status")[1])
-            say(f"{sum(counts.values())} copies of three services run; all are updated now")
+            if len(wait_for_end(120)) < len(SERVICES):
+                raise RuntimeError("the services did not start within 120 s: " + run_rollout("status")[1])
+            report(f"{sum(counts.values())} copies of three services run; all are updated now")
             begun = time.monotonic()
             for service in SERVICES:
                 declare(service, "two\n")
             if faults:
-                _inject_faults(fleet, chance, say)
-            ended = wait(240)
+                _inject_faults(fleet, rng, report)
+            ended = wait_for_end(240)
             seconds = time.monotonic() - begun
-            _, last = ask("status")
-            for line in last.splitlines():
-                say(line)
+            _, status_text = run_rollout("status")
+            for line in status_text.splitlines():
+                report(line)
         finally:
             fleet.close()
         assert fleet.tap is not None
@@ -139,28 +144,28 @@
         path = fleet.tap.path
         limits = audit_updates(tap.read(path), services)
         rules = audit(tap.read(path), build_audit_rules(fleet.settings))
-    # A round: the old copy ends, the new one starts, warm at best, and is healthy.
-    a_round = 0.06 + HEALTHY_S
+    # In each round an old copy ends, a new one starts, warm in the best case, and becomes healthy.
+    round_s = 0.06 + HEALTHY_S
     rounds = [-(-counts[service] // (down + surplus)) for service, (_, _, down, surplus) in SERVICES.items()]
-    return UpdateResult(sum(counts.values()), rules, limits, ended, seconds, max(rounds) * a_round)
+    return UpdateResult(sum(counts.values()), rules, limits, ended, seconds, max(rounds) * round_s)
 
 
-def _inject_faults(fleet: Fleet, chance: random.Random, say: Callable[[str], None]) -> None:
-    """A crash, lost answers, a rack that is lost, a scheduler that is killed; all come back."""
+def _inject_faults(fleet: Fleet, rng: random.Random, report: Callable[[str], None]) -> None:
+    """Lose replies, crash a node, kill the scheduler and lose a rack; all of them restart."""
     for agent in fleet.nodes.values():
         agent.lose, agent.cut, agent.repeat = 0.03, 0.03, 0.05
     fleet.run_for(1500 * MS)
-    name = chance.choice(sorted(fleet.nodes))
-    say(f"{name} crashes and comes back cold")
+    name = rng.choice(sorted(fleet.nodes))
+    report(f"{name} crashes and comes back cold")
     fleet.crash_node(name, 2 * S)
     fleet.run_for(1500 * MS)
-    say("the scheduler is killed and comes back")
+    report("the scheduler is killed and comes back")
     fleet.kill_scheduler("sched0", 300 * MS)
     fleet.run_for(4 * S)
     racks = sorted({fleet.get_rack(node) for node in fleet.nodes})
-    rack = chance.choice(racks)
+    rack = rng.choice(racks)
     lost = [node for node in sorted(fleet.nodes) if fleet.get_rack(node) == rack]
-    say(f"{rack} is lost with {', '.join(lost)}, and comes back cold")
+    report(f"{rack} is lost with {', '.join(lost)}, and comes back cold")
     for node in lost:
         fleet.crash_node(node, 4 * S)
     fleet.run_for(2 * S)
--- a/tests/lab/test_ports.py
+++ b/tests/lab/test_ports.py
@@ -1,4 +1,4 @@
-"""Ports for processes that are still to start: no two of the machine's processes are given the same one."""
+"""Loopback ports and addresses: two processes never get the same one."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 from ladderhub.lab import ports
 
-CODE = (
+LOCK_CODE = (
     "import sys; from ladderhub.lab import ports; print(ports._lock(int(sys.argv[1])), flush=True); input()"
 )
 
 
-def other_process(port: int) -> subprocess.Popen[str]:
-    """Another process that tries to take the port, and lives until its input is closed."""
-    argv = [sys.executable, "-c", CODE, str(port)]
+def start_process_that_locks(port: int) -> subprocess.Popen[str]:
+    """Start a process that tries to lock the port and lives until its input is closed."""
+    argv = [sys.executable, "-c", LOCK_CODE, str(port)]
     return subprocess.Popen(argv, stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True)
 
 
-def locked_by(process: subprocess.Popen[str]) -> bool:
+def has_locked(process: subprocess.Popen[str]) -> bool:
     assert process.stdout is not None
     return process.stdout.readline() == "True\n"
 
@@ -29,17 +29,17 @@
     process.communicate("\n")
 
 
-def test_a_port_that_was_given_out_is_no_other_processes_though_nobody_listens_there() -> None:
-    # Guards against test runs side by side whose daemons find their port taken.
-    other = other_process(ports.free_port())
-    assert not locked_by(other)
+def test_a_chosen_port_is_locked_for_other_processes_though_nobody_listens_there() -> None:
+    # Concurrent test runs chose the same port before a daemon listened on it; one of the daemons then failed.
+    other = start_process_that_locks(ports.free_port())
+    assert not has_locked(other)
     end(other)
 
 
 def test_the_end_of_a_process_frees_its_ports() -> None:
-    port = 100_000 + os.getpid()  # no port, so that no other test may hold its lock
-    other = other_process(port)
-    assert locked_by(other) and not ports._lock(port)
+    port = 100_000 + os.getpid()  # not a valid port, so that no other test can hold its lock
+    other = start_process_that_locks(port)
+    assert has_locked(other) and not ports._lock(port)
     end(other)
     assert ports._lock(port)
 
@@ -54,7 +54,7 @@
 
 
 def test_each_process_has_a_loopback_address_of_its_own() -> None:
-    # Guards against callers of one test that reach another's listener by a port that was used again.
+    # Clients of one test could reach a listener of another test on a reused port.
     code = "from ladderhub.lab import ports; print(ports.own_host())"
     other = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     hosts = {ports.own_host(), other.stdout.strip()}
