--- a/ladderhub/server/peers.py
+++ b/ladderhub/server/peers.py
@@ -1,4 +1,4 @@
-"""Membership and leases as a part of the daemon.  Loaded only where the settings name peers."""
+"""Membership and leases: the component of the daemon.  Loaded only if the settings name peers."""
 
 from __future__ import annotations
 
@@ -33,14 +33,14 @@
 
 
 class _PeerState(msgspec.Struct):
-    """What one life leaves to the next: its number, and the addresses of peers."""
+    """The stored state: number of the latest life, and the addresses of its peers."""
 
     life: int = 0
     peers: list[str] = []
 
 
 class PeerStateFile:
-    """The file in the spool that keeps it.  Each time it is opened a new life begins."""
+    """The state file in the spool folder.  Each time it is opened, a new life begins."""
 
     def __init__(self, folder: Path) -> None:
         self._path = folder / "peers.json"
@@ -50,23 +50,24 @@
             state = _PeerState()
         except msgspec.MsgspecError as fault:
             raise SpoolError(str(fault), where=str(self._path), expected="what the scheduler left") from None
-        # Grows also where the wall clock was set back; saved before any peer learns of it.
+        # Increases even if the wall clock was set back; saved before any peer sees it.
         self.life = max(time.time_ns(), state.life + 1)
         self.peers = state.peers
         self.save(self.peers)
 
     def save(self, peers: list[str]) -> None:
+        """Store these addresses with the current life."""
         self.peers = peers
         write_durably(self._path, msgspec.json.encode(_PeerState(self.life, peers)))
 
 
 class PeerService:
-    """The group of schedulers, shown in the log, by gauges and in the server's status."""
+    """Membership and leases of this scheduler; reported in the log, in gauges and in the server's status."""
 
     def __init__(self, context: DaemonContext, settings: PeerSettings) -> None:
         self._context, self._settings = context, settings
         self._state_file = PeerStateFile(context.folder)
-        self.view = MembershipView(self._member_settings(), context.settings.file.seed)
+        self.view = MembershipView(self._build_member_settings(), context.settings.file.seed)
         self.leases: LeaseHolder | None = None
         self._tell_leases: Callable[[Event | MembershipSummary], None] | None = None
         self._transport: PeerTransport | None = None
@@ -74,7 +75,7 @@
         self._add_gauges()
         context.status_sources.append(self.build_status_rows)
 
-    def _member_settings(self) -> MemberSettings:
+    def _build_member_settings(self) -> MemberSettings:
         settings, state = self._settings, self._state_file
         known = tuple(state.peers)
         return MemberSettings(
@@ -86,17 +87,17 @@
         gauge("members", "Schedulers in the view, this one among them", lambda: len(self.view.members()))
         gauge("members_suspected", "Of those it watches", lambda: len(self.view.get_suspected_names()))
         gauge("membership_sure", "1 while peers confirm the view", lambda: float(self.is_confirmed()))
-        gauge("peer_datagrams_spoilt", "Datagrams that were no message", self._spoilt_total)
-        gauge("peer_datagrams_unsent", "Datagrams that the system did not take", self._unsent_total)
+        gauge("peer_datagrams_spoilt", "Datagrams that were no message", self._count_invalid_datagrams)
+        gauge("peer_datagrams_unsent", "Datagrams that the system did not take", self._count_unsent_datagrams)
 
     def is_confirmed(self) -> bool:
-        """Do peers confirm the view, and is the name ours?"""
+        """Whether peers confirm the view and this process has not yielded its name to an older one."""
         return self.view.confirmed and self.view.yielded_to is None
 
-    def _spoilt_total(self) -> float:
+    def _count_invalid_datagrams(self) -> float:
         return float(sum(self._transport.tally.total.values())) if self._transport is not None else 0.0
 
-    def _unsent_total(self) -> float:
+    def _count_unsent_datagrams(self) -> float:
         return float(self._transport.datagrams.unsent) if self._transport is not None else 0.0
 
     @property
@@ -113,26 +114,26 @@
 
     @property
     def transport(self) -> PeerTransport:
-        """Of a service that has started."""
+        """The transport; it exists once the service has started."""
         assert self._transport is not None
         return self._transport
 
     def get_member_names(self) -> list[str]:
-        """The schedulers in the view, this one among them."""
+        """Return the names of the schedulers in the view, including this one."""
         return sorted(entry.name for entry in self.view.members())
 
     def build_status_rows(self) -> list[Attr]:
-        """Rows of the server's status."""
+        """Return the rows on membership for the server's status."""
         suspected = set(self.view.get_suspected_names())
         shown = [f"{name} (suspected)" if name in suspected else name for name in self.get_member_names()]
-        return [Attr("members", ", ".join(shown)), Attr("membership", self._state_word())]
+        return [Attr("members", ", ".join(shown)), Attr("membership", self._get_state_name())]
 
-    def _state_word(self) -> str:
+    def _get_state_name(self) -> str:
         if self.view.yielded_to is not None:
             return "yielded"
         return "sure" if self.view.confirmed else "unsure"
 
-    # --- as a part --------------------------------------------------------------------------------------
+    # --- component of the daemon --------------------------------------------------------------------------
 
     def start(self) -> None:
         self._context.processor.run(Cause.PEERS, self._start)
@@ -145,7 +146,7 @@
             settings.cluster,
             self.view,
             self._log_change,
-            self._log_spoilt,
+            self._log_invalid,
             context.traffic,
         )
         self._transport = transport
@@ -157,18 +158,20 @@
         context.loop.call_later(SAVE_INTERVAL_NS, self._save)
 
     def _start_leases(self, transport: PeerTransport) -> None:
-        """From here on slots are leased, and none is held before voters grant it."""
+        """Start leases: from now on a slot is used only after the voters granted its lease."""
         context = self._context
-        self.leases = LeaseHolder(self._lease_settings(), context.settings.file.seed, context.loop.now_ns())
+        self.leases = LeaseHolder(
+            self._build_lease_settings(), context.settings.file.seed, context.loop.now_ns()
+        )
         context.tell_module(SeatShare((), -1))
         transport.on_leases, transport.on_tick = self._on_leases, self._on_tick
         self._tell_leases = context.dispatcher.register(self.leases, transport)
         transport.tell_leases = self._tell_leases
         context.metrics.add_gauge(
-            "seats_held", "Slots of the cold budget that may be used", self._usable_slots
+            "seats_held", "Slots of the cold budget that may be used", self._count_usable_slots
         )
 
-    def _lease_settings(self) -> LeaseSettings:
+    def _build_lease_settings(self) -> LeaseSettings:
         settings, loaded = self._settings, self._context.settings
         return LeaseSettings(
             name=self._context.name,
@@ -190,7 +193,7 @@
         self._context.tell_module(SeatShare(held.slots, held.until_ns))
         self._context.log.debug("seats", slots=held.slots, until_ns=held.until_ns)
 
-    def _usable_slots(self) -> float:
+    def _count_usable_slots(self) -> float:
         return (
             float(len(self.leases.get_usable_leases(self._context.loop.now_ns()).slots))
             if self.leases is not None
@@ -211,7 +214,7 @@
             self._transport.leave()
 
     def _save(self) -> None:
-        """After a restart of the whole fleet the saved addresses are how it finds itself again."""
+        """Save the addresses of peers, so that schedulers find each other if all of them restart."""
         if self._closed:
             return
         peers = self.view.get_peer_addresses()
@@ -223,5 +226,5 @@
         log = self._context.log.warning if change.change in _WARNED_CHANGES else self._context.log.info
         log("member", change=change.change.value, member=change.name, life=change.life, cause=change.cause)
 
-    def _log_spoilt(self, row: MalformedInputCount) -> None:
+    def _log_invalid(self, row: MalformedInputCount) -> None:
         self._context.log.warning("spoilt", kind=row.kind, peer=row.peer, count=row.count)
--- a/ladderhub/server/policyrequests.py
+++ b/ladderhub/server/policyrequests.py
@@ -1,7 +1,9 @@
-"""Requests of operators on the configuration: Manager on an object of our own (`names.OBJ_POLICY`).
+"""Operators' requests on the configuration: Manager requests on an object type that PBS does not have,
+`names.OBJ_POLICY`.
 
-Create applies a policy and is answered when its outcome is known; list tells the state, or with a number or
-`current` as its name one revision with its body."""
+Create applies a policy and is answered once its outcome is known.  List returns the state, or, if its name is
+a revision number or `current`, that revision with its body.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +27,7 @@
 
 
 class PolicyError(LadderhubError):
-    """A request on the configuration that can't be taken: field, what was found, what was meant."""
+    """A refused request on the configuration: the field, what was found, what is expected."""
 
     status, code = 2, n.BAD_ATTRIBUTE_VALUE
     remedy = (
@@ -34,12 +36,13 @@
 
 
 class PolicyRequests:
-    """Serves `ladderhub policy`."""
+    """Serves the requests of `ladderhub policy`."""
 
     def __init__(self, context: DaemonContext, service: RevisionService) -> None:
         self._context, self._service = context, service
 
     def serve(self, connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
+        """Serve a Manager request on the policy: create (apply) or list."""
         if self._context.stopping:
             answer(refusal(n.SERVER_BUSY, f"{self._context.name} is stopping"))
             return
@@ -47,9 +50,9 @@
             if request.command == n.CMD_CREATE:
                 self._apply(request, answer)
             elif request.command == n.CMD_LIST and request.name:
-                answer(_reply([self._revision_row(request.name)]))
+                answer(_build_reply([self._build_revision_row(request.name)]))
             elif request.command == n.CMD_LIST:
-                answer(_reply([self._status_row(), *self._member_rows()]))
+                answer(_build_reply([self._build_status_row(), *self._build_member_rows()]))
             else:
                 raise PolicyError("create and list are known for the configuration")
         except PolicyError as fault:
@@ -63,24 +66,26 @@
         members = self._service.get_member_names()
 
         def on_outcome(outcome: Outcome) -> None:
-            answer(_reply([Row(n.OBJ_POLICY, "", outcome_attrs(outcome, members))]))
+            answer(_build_reply([Row(n.OBJ_POLICY, "", _build_outcome_attrs(outcome, members))]))
 
         self._service.apply(
-            body, self._parent_digest(request.get("parent")), author, request.get("reason"),
+            body, self._find_parent_digest(request.get("parent")), author, request.get("reason"),
             time.time_ns() // MS, on_outcome,
         )  # fmt: skip
 
-    def _parent_digest(self, text: str) -> bytes | None:
-        """Of the revision that the request was made from; none named: whatever is current."""
+    def _find_parent_digest(self, text: str) -> bytes | None:
+        """Return the digest of the revision that the request is based on; None if it names none, which means
+        the current one."""
         if not text:
             return None
         if text == "0":
             return digest_of(None)
-        return digest_of(self._header(text, "parent"))
+        return digest_of(self._find_header(text, "parent"))
 
     # --- show and status --------------------------------------------------------------------------------
 
-    def _header(self, text: str, where: str) -> Header:
+    def _find_header(self, text: str, where: str) -> Header:
+        """Return the header of a revision by its number or `current`; PolicyError if it is not kept here."""
         status = self._service.revisions.status(self._context.loop.now_ns())
         if text == CURRENT:
             if status.active is None:
@@ -93,23 +98,23 @@
             raise PolicyError(f"found {text!r}", where=where, expected=meant)
         return kept[text]
 
-    def _revision_row(self, text: str) -> Row:
-        header = self._header(text, "revision")
+    def _build_revision_row(self, text: str) -> Row:
+        header = self._find_header(text, "revision")
         body = self._service.revisions.body_of(header)
         if body is None:
             raise PolicyError(f"its body is no longer kept by {self._context.name}", where=f"revision {text}")
-        told = [*_header_attrs(header), Attr("body", body.decode("utf-8", "surrogateescape"))]
-        return Row(n.OBJ_POLICY, str(header.number), told)
+        attrs = [*_build_header_attrs(header), Attr("body", body.decode("utf-8", "surrogateescape"))]
+        return Row(n.OBJ_POLICY, str(header.number), attrs)
 
-    def _status_row(self) -> Row:
+    def _build_status_row(self) -> Row:
         status = self._service.revisions.status(self._context.loop.now_ns())
         attrs = self._service.build_status_rows()
         if status.active is not None:
-            attrs += _header_attrs(status.active)
+            attrs += _build_header_attrs(status.active)
         return Row(n.OBJ_POLICY, self._context.name, attrs)
 
-    def _member_rows(self) -> list[Row]:
-        """The newest revision that each other member was heard to know."""
+    def _build_member_rows(self) -> list[Row]:
+        """Build a row for each other member, with the newest revision that it reported."""
         now, heads, rows = self._context.loop.now_ns(), self._service.get_heads(), []
         for name in self._service.get_member_names():
             if name == self._context.name:
@@ -125,11 +130,11 @@
         return rows
 
 
-def _reply(rows: list[Row]) -> Reply:
+def _build_reply(rows: list[Row]) -> Reply:
     return Reply(0, n.R_STATUS, rows=rows)
 
 
-def _header_attrs(header: Header | None) -> list[Attr]:
+def _build_header_attrs(header: Header | None) -> list[Attr]:
     if header is None:
         return [Attr("number", "0")]
     return [
@@ -139,19 +144,19 @@
     ]  # fmt: skip
 
 
-def outcome_attrs(outcome: Outcome, members: list[str]) -> list[Attr]:
-    """An outcome as the attributes of its row.  `members`: those whose word was asked for."""
+def _build_outcome_attrs(outcome: Outcome, members: list[str]) -> list[Attr]:
+    """Build the attributes of an outcome's row.  `members`: the schedulers that were asked to confirm it."""
     match outcome:
         case Applied(header, _, silent):
             confirmed = ", ".join(name for name in members if name not in silent)
-            told = [Attr("confirmed", confirmed), Attr("silent", ", ".join(silent))]
-            return [Attr("outcome", "applied"), *_header_attrs(header), *told]
+            attrs = [Attr("confirmed", confirmed), Attr("silent", ", ".join(silent))]
+            return [Attr("outcome", "applied"), *_build_header_attrs(header), *attrs]
         case Unchanged(header, _):
-            return [Attr("outcome", "unchanged"), *_header_attrs(header)]
+            return [Attr("outcome", "unchanged"), *_build_header_attrs(header)]
         case StaleParent(current, _):
-            return [Attr("outcome", "stale parent"), *_header_attrs(current)]
+            return [Attr("outcome", "stale parent"), *_build_header_attrs(current)]
         case LostTo(winner, _):
-            return [Attr("outcome", "lost"), *_header_attrs(winner)]
+            return [Attr("outcome", "lost"), *_build_header_attrs(winner)]
         case Refused(member, fault):
             return [Attr("outcome", "refused"), Attr("member", member), Attr("fault", fault)]
         case NoMajority(answered, voters, may_follow, age_ns):
--- a/tests/peers/test_late_ticks.py
+++ b/tests/peers/test_late_ticks.py
@@ -1,4 +1,4 @@
-"""Guards against peers that are considered silent although their answers have arrived, but are unread."""
+"""Guards against peers that are considered silent while their answers have arrived but are not read yet."""
 
 from __future__ import annotations
 
--- a/tests/peers/test_peer_service.py
+++ b/tests/peers/test_peer_service.py
@@ -45,7 +45,7 @@
     } | peers
     world.settings["schedulers"] = 2
     daemon = world.daemon(name)
-    service = next(part for part in daemon.components if isinstance(part, PeerService))
+    service = next(each for each in daemon.components if isinstance(each, PeerService))
     return daemon, service
 
 
@@ -59,7 +59,7 @@
     _, one = start(world, "alpha", addresses[0], addresses, **electors)
     daemon, two = start(world, "beta", addresses[1], addresses, **electors)
     world.until(lambda: names(one) == names(two) == ["alpha", "beta"])
-    row = world.ask(lambda client, told: client.send(Request(n.STATUS_SERVER), told)).rows[0]
+    row = world.ask(lambda client, on_reply: client.send(Request(n.STATUS_SERVER), on_reply)).rows[0]
     assert (row.get("members"), row.get("membership")) == ("alpha, beta", "sure")
     page = daemon.metrics.render_page()[2].decode()
     assert "ladderhub_members 2.0" in page and "ladderhub_membership_sure 1.0" in page
--- a/tests/peers/test_revisions.py
+++ b/tests/peers/test_revisions.py
@@ -36,11 +36,11 @@
 
 def start(world: World, names: list[str]) -> dict[str, RevisionService]:
     """Start schedulers with these names, all voters, and wait until the first revision is active on each."""
-    places = [f"127.0.0.1:{free_port()}" for _ in names]
-    for name, place in zip(names, places, strict=True):
+    addresses = [f"127.0.0.1:{free_port()}" for _ in names]
+    for name, address in zip(names, addresses, strict=True):
         world.settings["peers"] = {
-            "listen": place, "seeds": places, "period": "300ms", "lease": "1200ms", "cluster": "test",
-            "electors": places,
+            "listen": address, "seeds": addresses, "period": "300ms", "lease": "1200ms", "cluster": "test",
+            "electors": addresses,
         }  # fmt: skip
         world.settings["schedulers"] = len(names)
         world.daemon(name, wait=False)
@@ -52,7 +52,7 @@
 
 
 def service_of(daemon: Daemon) -> RevisionService:
-    return next(part for part in daemon.components if isinstance(part, RevisionService))
+    return next(each for each in daemon.components if isinstance(each, RevisionService))
 
 
 def number(service: RevisionService) -> int:
@@ -225,7 +225,7 @@
     peers, host = service._peers.transport, Host()
     sent: list[Any] = []
     peers.send = lambda address, message: sent.append(message)  # type: ignore[method-assign]
-    carrier = RevisionExecutor(peers, service.revisions, host)
+    executor = RevisionExecutor(peers, service.revisions, host)
     header = Header(1, bytes(16), "ann", 0, "", bytes(16))
     host.full = True
     for action in (
@@ -233,13 +233,13 @@
         Answer(1, Unchanged(header, b"")), Resume(),
         Store(Record()), Notify(Notice.VOTING, ""),
     ):  # fmt: skip
-        carrier.execute(0, action)
+        executor.execute(0, action)
     assert not host.done and not sent
     host.full = False
     world.until(lambda: host.done == ["store", "answer 1", "resume", "notify"])
-    carrier.execute(0, Send("127.0.0.1:9", AskHead(2, "127.0.0.1:9")))
+    executor.execute(0, Send("127.0.0.1:9", AskHead(2, "127.0.0.1:9")))
     assert [message.nonce for message in sent] == [2]
-    carrier.close()
+    executor.close()
 
 
 def test_a_client_that_disconnects_does_not_block_the_answer(world: World) -> None:
@@ -248,7 +248,7 @@
     body = Attr("body", policy(world, "700ms").decode())
     request = Request(n.MANAGER, "ann", attrs=[body], command=n.CMD_CREATE, object_type=n.OBJ_POLICY)
     client.send(request, lambda reply: None)
-    world.until(lambda: service._waiting)
+    world.until(lambda: service._pending_requests)
     client.close()
-    world.until(lambda: number(service) == 2 and not service._waiting)
+    world.until(lambda: number(service) == 2 and not service._pending_requests)
     assert not world.troubles and SETTINGS["queues"]["web"]["aim"] == "800ms"
