--- a/ladderhub/lab/auditor/__init__.py
+++ b/ladderhub/lab/auditor/__init__.py
@@ -1,11 +1,12 @@
-"""The auditor: judges the five rules from recorded bytes alone.
+"""The auditor: checks the five rules against the recorded bytes alone.
 
-It knows the rules (`AuditRules`) and what went over the sockets: clients' and nodes' requests to schedulers
+Its input is the rules (`AuditRules`) and the recorded traffic: clients' and nodes' requests to schedulers
 (channel `sched:NAME`), schedulers' requests to nodes (`node:NAME`), the directory's lists (`list:NAME`), and
-notes of what the laboratory did to a process (`note:`).  No word of a daemon on its own decisions counts,
-but for the answers that it tells its clients.
+notes on what the laboratory did to a process (`note:`).  What a daemon states about its own decisions is not
+used, except the answers that it sends to its clients.
 
-`model` has the rules and what is read and found, `reader` reads a recording, `judge` judges it.
+`model` defines the rules, the data read from a recording and the verdict; `reader` reads a recording, `judge`
+judges it.
 """
 
 from __future__ import annotations
@@ -31,13 +32,13 @@
 
 
 def read(records: Iterable[Record]) -> RecordingReader:
-    """All that a recording tells, in the order of its records."""
+    """Read the records of a recording in their order."""
     reader = RecordingReader()
     for record in records:
-        reader.take(record)
+        reader.read_record(record)
     return reader
 
 
 def audit(records: Iterable[Record], rules: AuditRules) -> Verdict:
     """Read a recording and judge it."""
-    return Judge(read(records), rules).verdict()
+    return Judge(read(records), rules).judge()
--- a/ladderhub/lab/auditor/model.py
+++ b/ladderhub/lab/auditor/model.py
@@ -1,4 +1,4 @@
-"""The rules that the auditor judges by, what it reads from a recording, and its verdict."""
+"""The rules that the auditor checks, the data that it reads from a recording, and its verdict."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-PLACED = "placed"  # the answer that is not final: others may follow it
+PLACED = "placed"  # the only answer that is not final: another may follow it
 SERVING, GONE = "serving", "gone"  # stages of a node in the directory's lists
-UNKNOWN_NS = -1  # what has not happened
-NEVER_NS = 1 << 62
+UNKNOWN_NS = -1  # the event is not in the recording
+NEVER_NS = 1 << 62  # later than any event
 MAX_BREACHES_SHOWN = 5
 
 
 class Rule(StrEnum):
-    """The five rules, as they are named in reports."""
+    """The five rules; the values are their names in reports."""
 
     ANSWER = "one answer in time"
     EFFECT = "no effect twice"
@@ -28,8 +28,8 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueRules:
-    """What the rules say of one queue.  `window_ns`: how long repeats of a keyed job are discarded, by any
-    node; `spread_most`: most of a service in one rack by one scheduler, 0 for no bound."""
+    """The rules for one queue.  `window_ns`: how long every node discards repeats of a keyed job;
+    `spread_most`: how many jobs of a service one scheduler may have in one rack, 0 for no limit."""
 
     effect: str
     limit_ns: int
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AuditRules:
-    """What the rules say of a site."""
+    """The rules for one cluster.  `cold_safe`: offers per window that any cold node can take."""
 
     queues: dict[str, QueueRules]
     drain_grace_ns: int
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One offer of a job, as it went over the wire."""
+    """One offer of a job to a node, as recorded."""
 
     job: str
     run: str
@@ -62,28 +62,28 @@
     offered_ns: int
     committed_ns: int = UNKNOWN_NS
     accepted_ns: int = UNKNOWN_NS
-    closed_ns: int = UNKNOWN_NS  # its connection ended
-    over_ns: int = UNKNOWN_NS  # proof that it does not run (any more)
+    closed_ns: int = UNKNOWN_NS  # its connection was closed
+    over_ns: int = UNKNOWN_NS  # proof that it does not run, or no longer
     stop_ns: int = UNKNOWN_NS  # its node was told to end it
-    known_ns: int = UNKNOWN_NS  # its scheduler was told that it runs, by the answer or on asking
-    slot: str = ""  # of a copy of a service: which slot and version it is
+    known_ns: int = UNKNOWN_NS  # its scheduler learned that it runs, from a reply to an offer or query
+    slot: str = ""  # slot and version of a copy of a service, "" for other jobs
     version: str = ""
 
-    def proven_over(self, at_ns: int) -> None:
-        """The first proof counts."""
+    def mark_over(self, at_ns: int) -> None:
+        """Set the time of the proof that it does not run, unless there is an earlier one."""
         if self.over_ns < 0:
             self.over_ns = at_ns
 
 
 class Answer(NamedTuple):
-    """What a client was told of its job."""
+    """What a scheduler told a client about its job."""
 
     at_ns: int
-    word: str
+    outcome: str
 
 
 class NodeNotice(NamedTuple):
-    """What a scheduler was told of a node by a list."""
+    """What a list told a scheduler about a node."""
 
     at_ns: int
     stage: str
@@ -91,14 +91,14 @@
 
 
 @dataclass(slots=True)
-class JobSeen:
-    """One job that a scheduler took."""
+class ObservedJob:
+    """One job that a scheduler accepted."""
 
     job: str
     scheduler: str
     queue: str
     accepted_ns: int
-    answers: list[Answer] = field(default_factory=list)  # as clients were told, when they changed
+    answers: list[Answer] = field(default_factory=list)  # as told to clients, without repetitions
     attempts: list[Attempt] = field(default_factory=list)
     deleted_ns: int = UNKNOWN_NS
     released_ns: int = UNKNOWN_NS  # NEVER_NS while it is held
@@ -106,7 +106,7 @@
 
 @dataclass(slots=True)
 class Verdict:
-    """What was checked under each rule, and each breach in words."""
+    """Number of checks and descriptions of the breaches, by rule."""
 
     checked: dict[str, int] = field(default_factory=lambda: dict.fromkeys(RULES, 0))
     breaches: dict[str, list[str]] = field(default_factory=lambda: {rule: [] for rule in RULES})
@@ -116,16 +116,18 @@
     parse_errors: list[str] = field(default_factory=list)
 
     def is_good(self) -> bool:
+        """Whether no rule was broken."""
         return not any(self.breaches.values())
 
     def lines(self) -> list[str]:
+        """Format the verdict for people."""
         lines = []
         for rule in RULES:
             breaches = self.breaches[rule]
-            word = "kept" if not breaches else f"BROKEN {len(breaches)} times"
-            lines.append(f"{rule:<26} {word:<18} checked {self.checked[rule]}")
+            result = "kept" if not breaches else f"BROKEN {len(breaches)} times"
+            lines.append(f"{rule:<26} {result:<18} checked {self.checked[rule]}")
             lines += [f"    {breach}" for breach in breaches[:MAX_BREACHES_SHOWN]]
-        answers = ", ".join(f"{count} {word}" for word, count in sorted(self.answers.items()))
+        answers = ", ".join(f"{count} {outcome}" for outcome, count in sorted(self.answers.items()))
         lines.append(
             f"{self.accepted} jobs taken: {answers}; {self.lost_with_scheduler} went with a killed scheduler"
         )
--- a/ladderhub/lab/flaky.py
+++ b/ladderhub/lab/flaky.py
@@ -1,4 +1,4 @@
-"""Nodes with faults that a scenario or a test turns on."""
+"""Node agents with faults that a scenario or a test switches on."""
 
 from __future__ import annotations
 
@@ -13,12 +13,11 @@
 
 
 class FlakyAgent(Agent):
-    """An agent that loses, cuts or repeats replies, stalls, or refuses whom it should not.
+    """An agent that loses, truncates or repeats replies, stalls, or refuses some tenants.
 
-    `repeat` holds for all requests.  `keyed` queues' jobs stand once over all `peers`.  `lose`, `cut` and
-    `repeat` are shares of the replies
-    to Commit, drawn from the node's own seeded chance;
-    `full_for` names tenants that are told there is no room."""
+    `lose`, `cut` and `repeat` are shares of the replies to Commit, drawn from the agent's seeded random
+    generator; `repeat` applies to the replies to all other requests too.  Tenants in `full_for` are refused
+    as if there were no room.  A job of a queue in `keyed` is accepted by only one of all `peers`."""
 
     lose = cut = repeat = 0.0
     full_for: frozenset[str] = frozenset()
@@ -29,13 +28,13 @@
     def make_connection(self, sock: socket.socket) -> AgentConnection:
         return FlakyConnection(self, sock)
 
-    def inject_refusal(self, held: NodeJob) -> Refusal | None:
-        if held.offer.tenant in self.full_for:
-            return Refusal("CORES", "no room for " + held.offer.tenant)
-        if held.offer.queue in self.keyed and self.peers is not None:
-            # Nodes of a site with keyed work let one copy of a key stand.
-            job = held.key[0]
-            if any(key[0] == job for peer in self.peers.values() for key in peer.jobs):
+    def inject_refusal(self, job: NodeJob) -> Refusal | None:
+        if job.offer.tenant in self.full_for:
+            return Refusal("CORES", "no room for " + job.offer.tenant)
+        if job.offer.queue in self.keyed and self.peers is not None:
+            # Nodes of a cluster with keyed jobs accept only one copy per key.
+            job_id = job.key[0]
+            if any(key[0] == job_id for peer in self.peers.values() for key in peer.jobs):
                 return Refusal("NOT_HERE", "a copy of the job stands elsewhere")
         return None
 
@@ -43,19 +42,20 @@
         return self._random.random()
 
     def stall(self, span_ns: int) -> None:
-        """Connections stay open and nothing is read or written for so long."""
+        """Keep connections open but read and write nothing for this time."""
         self.stalled = True
         for connection in self.connections:
             connection.stream.pause(True)
         self.loop.call_later(span_ns, self.resume)
 
     def resume(self) -> None:
+        """End the stall: read again and send the replies that were held back."""
         self.stalled = False
         for connection in list(self.connections):
             connection.stream.pause(False)
             assert isinstance(connection, FlakyConnection)
-            kept, connection.kept = connection.kept, []
-            for request, data in kept:
+            held_replies, connection.held_replies = connection.held_replies, []
+            for request, data in held_replies:
                 connection.send(request, data)
 
 
@@ -63,28 +63,28 @@
     """One connection of a flaky agent."""
 
     def __init__(self, agent: FlakyAgent, sock: socket.socket) -> None:
-        self.kept: list[tuple[Request, bytes]] = []
+        self.held_replies: list[tuple[Request, bytes]] = []
         super().__init__(agent, sock)
-        self.flaky = agent
+        self.flaky_agent = agent
         if agent.stalled:
             self.stream.pause(True)
 
     def send(self, request: Request, data: bytes) -> None:
-        if self.flaky.stalled:
-            self.kept.append((request, data))
+        if self.flaky_agent.stalled:
+            self.held_replies.append((request, data))
             return
-        if request.type != n.COMMIT and self.flaky.draw() < self.flaky.repeat:
+        if request.type != n.COMMIT and self.flaky_agent.draw() < self.flaky_agent.repeat:
             data += data
         elif request.type == n.COMMIT:
-            chance = self.flaky.draw()
-            if chance < self.flaky.lose:
+            chance = self.flaky_agent.draw()
+            if chance < self.flaky_agent.lose:
                 return
-            chance -= self.flaky.lose
-            if 0 <= chance < self.flaky.cut:
+            chance -= self.flaky_agent.lose
+            if 0 <= chance < self.flaky_agent.cut:
                 self.stream.write(data[: len(data) // 2])
                 self.stream.close()
                 return
-            chance -= self.flaky.cut
-            if 0 <= chance < self.flaky.repeat:
+            chance -= self.flaky_agent.cut
+            if 0 <= chance < self.flaky_agent.repeat:
                 data += data
         super().send(request, data)
--- a/ladderhub/server/clientlistener.py
+++ b/ladderhub/server/clientlistener.py
@@ -42,7 +42,7 @@
                 raise ValueError(f"{n.REQUESTS[kind]} is served already")
         self.handlers |= handlers
 
-    # --- component of the daemon --------------------------------------------------------------------------
+    # --- component of the daemon ----------------------------------------------------------------------------
 
     def start(self) -> None:
         with self.context.processor.section(Cause.JOBS):
--- a/ladderhub/server/peers.py
+++ b/ladderhub/server/peers.py
@@ -133,7 +133,7 @@
             return "yielded"
         return "sure" if self.view.confirmed else "unsure"
 
-    # --- component of the daemon --------------------------------------------------------------------------
+    # --- component of the daemon ------------------------------------------------------------------------
 
     def start(self) -> None:
         self._context.processor.run(Cause.PEERS, self._start)
--- a/ladderhub/server/revisions.py
+++ b/ladderhub/server/revisions.py
@@ -99,7 +99,7 @@
         gauge("revision_active", "Number of the revision that is acted by", self._get_active_number)
         gauge("revision_age_seconds", "Since a majority confirmed it; -1: not in this life", self._get_age_s)
 
-    # --- component of the daemon --------------------------------------------------------------------------
+    # --- component of the daemon ------------------------------------------------------------------------
 
     def start(self) -> None:
         executor = RevisionExecutor(self._peers.transport, self.revisions, self)
@@ -132,7 +132,7 @@
         ):
             self._tell(Tick())
 
-    # --- operators' requests ------------------------------------------------------------------------------
+    # --- operators' requests ----------------------------------------------------------------------------
 
     def apply(
         self, body: bytes, parent: bytes | None, author: str, reason: str, made_ms: int,
@@ -180,7 +180,7 @@
         age = self.revisions.status(self._context.loop.now_ns()).age_ns
         return -1.0 if age is None else age / S
 
-    # --- host of the executor -----------------------------------------------------------------------------
+    # --- host of the executor ---------------------------------------------------------------------------
 
     def store(self, record: Record) -> None:
         """Store the record, and log the revisions that it adds as accepted or chosen."""
--- a/tests/test_auditor.py
+++ b/tests/test_auditor.py
@@ -1,4 +1,4 @@
-"""The auditor must be able to fail: one doctored recording for each rule."""
+"""Guards against an auditor that overlooks breaches: for each rule, a recording altered to break it."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @pytest.fixture(scope="module")
 def recording(tmp_path_factory: pytest.TempPathFactory) -> Recording:
-    """A short good day: jobs of three queues, one of them ended, one cancelled, all told by status."""
+    """Return a recording that keeps all rules: jobs of three queues, one ended, one deleted."""
     world = World(tmp_path_factory.mktemp("good"), 3, record=True)
     try:
         world.daemon()
@@ -35,7 +35,7 @@
         world.delete(jobs[0])
         world.run_for(800 * MS)
         world.submit("billing", life_s=0.1)
-        world.run_for(6 * S)  # past the queues' limit, so that silence would be told
+        world.run_for(6 * S)  # past the queues' limit, so that a missing answer would be a breach
         for job in jobs:
             world.row(job)
         rules = audit_rules(world.settings)
@@ -49,19 +49,19 @@
     return audit(sorted(records, key=lambda record: record.at_ns), rules)
 
 
-def broken(verdict: Verdict) -> set[str]:
+def find_broken_rules(verdict: Verdict) -> set[str]:
     return {rule for rule in RULES if verdict.breaches[rule]}
 
 
-def test_the_recording_itself_is_good(recording: Recording) -> None:
+def test_the_unaltered_recording_keeps_all_rules(recording: Recording) -> None:
     verdict = judge(*recording)
     assert verdict.is_good() and not verdict.parse_errors, verdict.lines()
     assert verdict.accepted == 10 and verdict.answers == {"placed": 10}
     assert all(verdict.checked[rule] for rule in RULES[:3]) and verdict.checked[RULES[4]]
 
 
-def requests(records: list[Record], kind: int) -> list[tuple[Record, Request]]:
-    """Requests to nodes of one kind, each alone in its record as nodes are written to step by step."""
+def find_requests(records: list[Record], kind: int) -> list[tuple[Record, Request]]:
+    """Return the requests of one type to nodes with their records; each record holds one request."""
     found = []
     for record in records:
         if record.channel.startswith("node:") and record.direction == ">":
@@ -73,22 +73,23 @@
     return found
 
 
-def offer_of(records: list[Record], queue: str) -> tuple[Record, Request]:
-    """The second offer of a queue: the first of one is cancelled, the last of another ends."""
-    return [pair for pair in requests(records, n.QUEUE_JOB) if pair[1].get("queue") == queue][1]
+def find_second_offer(records: list[Record], queue: str) -> tuple[Record, Request]:
+    """Return the second offer of a queue: the first job of one is deleted, the last of another ends."""
+    return [pair for pair in find_requests(records, n.QUEUE_JOB) if pair[1].get("queue") == queue][1]
 
 
-def again(records: list[Record], request: Request, node: str, at: int) -> list[Record]:
-    """The same offer once more, to another node, taken and accepted there."""
+def repeat_offer(records: list[Record], request: Request, node: str, at: int) -> list[Record]:
+    """Add the same offer once more, to another node, which accepts it."""
     user, job = request.user, request.job
-    ways = [
+    messages = [
         (">", encode_request(request)), ("<", encode_reply_ok(n.R_QUEUE, job)),
         (">", encode_request(Request(n.COMMIT, user, job))), ("<", encode_reply_ok(n.R_COMMIT, job)),
     ]  # fmt: skip
-    made = [
-        Record(at + step * MS, 900_000, f"node:{node}", way, data) for step, (way, data) in enumerate(ways)
+    added = [
+        Record(at + step * MS, 900_000, f"node:{node}", direction, data)
+        for step, (direction, data) in enumerate(messages)
     ]
-    return [*records, *made]
+    return [*records, *added]
 
 
 def encode_reply_ok(choice: int, job: str) -> bytes:
@@ -97,21 +98,22 @@
     return encode_reply(Reply(0, choice, job=job))
 
 
-def test_rule_1_a_job_whose_answer_is_cut_out_of_the_recording(recording: Recording) -> None:
+def test_rule_1_a_job_whose_answer_is_removed_from_the_recording(recording: Recording) -> None:
     records, rules = recording
-    sent, request = offer_of(records, "billing")
+    sent, request = find_second_offer(records, "billing")
     job = request.job
     kept = [r for r in records if r.connection != sent.connection]
-    doctored = [
-        replace(r, data=without(r.data, job)) if r.channel.startswith("sched:") and r.direction == "<" else r
+    altered = [
+        replace(r, data=remove_placement(r.data, job))
+        if r.channel.startswith("sched:") and r.direction == "<" else r
         for r in kept
     ]  # fmt: skip
-    verdict = judge(doctored, rules)
-    assert broken(verdict) == {RULES[0]} and job in verdict.breaches[RULES[0]][0]
+    verdict = judge(altered, rules)
+    assert find_broken_rules(verdict) == {RULES[0]} and job in verdict.breaches[RULES[0]][0]
 
 
-def without(data: bytes, job: str) -> bytes:
-    """Replies without the placement of one job."""
+def remove_placement(data: bytes, job: str) -> bytes:
+    """Return the replies without the placement of one job."""
     parser, out = ReplyParser(), b""
     parser.feed(data)
     while (reply := parser.next()) is not None:
@@ -124,8 +126,8 @@
 
 def test_rule_1_an_offer_after_the_job_was_refused(recording: Recording) -> None:
     records, rules = recording
-    doctored = []
-    job = offer_of(records, "batch")[1].job
+    altered = []
+    job = find_second_offer(records, "batch")[1].job
     for record in records:
         data = record.data
         if record.channel.startswith("sched:") and record.direction == "<" and job.encode() in data:
@@ -139,27 +141,27 @@
                             for attr in row.attrs
                         ]
                 data += encode_reply(reply)
-        doctored.append(replace(record, data=data))
-    request = offer_of(records, "batch")[1]
-    late = again(doctored, request, "node-1", records[-1].at_ns + S)
-    assert RULES[0] in broken(judge(late, rules))
+        altered.append(replace(record, data=data))
+    request = find_second_offer(records, "batch")[1]
+    late = repeat_offer(altered, request, "node-1", records[-1].at_ns + S)
+    assert RULES[0] in find_broken_rules(judge(late, rules))
 
 
 @pytest.mark.parametrize("queue", ["billing", "web", "batch"])
 def test_rule_2_a_second_copy_while_the_first_runs(recording: Recording, queue: str) -> None:
     records, rules = recording
-    sent, request = offer_of(records, queue)
+    sent, request = find_second_offer(records, queue)
     other = next(f"node-{at}" for at in (1, 2, 3) if sent.channel != f"node:node-{at}")
     request.attrs = [Attr("run_version", "2") if a.name == "run_version" else a for a in request.attrs]
-    verdict = judge(again(records, request, other, sent.at_ns + 200 * MS), rules)
-    assert RULES[1] in broken(verdict)
+    verdict = judge(repeat_offer(records, request, other, sent.at_ns + 200 * MS), rules)
+    assert RULES[1] in find_broken_rules(verdict)
 
 
-def test_rule_3_an_offer_long_after_the_node_was_told_off(recording: Recording) -> None:
+def test_rule_3_an_offer_long_after_the_scheduler_learned_of_the_drain(recording: Recording) -> None:
     records, rules = recording
-    sent, _ = requests(records, n.QUEUE_JOB)[-1]
+    sent, _ = find_requests(records, n.QUEUE_JOB)[-1]
     node = sent.channel.partition(":")[2]
-    doctored: list[Record] = []
+    altered: list[Record] = []
     for record in records:
         if record.channel.startswith("list:") and record.direction == "<":
             data = b""
@@ -175,23 +177,23 @@
                 ]
                 data += encode(Listed(message.kind, message.version, entries))
             record = replace(record, data=data)
-        doctored.append(record)
-    # The drain is told at once; the offer comes when it came.
-    first = next(r for r in doctored if r.channel.startswith("list:") and r.direction == "<")
+        altered.append(record)
+    # The first list already says that the node drains; the offer is sent when it was recorded.
+    first = next(r for r in altered if r.channel.startswith("list:") and r.direction == "<")
     assert sent.at_ns - first.at_ns > rules.drain_grace_ns
-    assert broken(judge(doctored, rules)) == {RULES[2]}
+    assert find_broken_rules(judge(altered, rules)) == {RULES[2]}
 
 
-def test_rule_4_more_offers_than_a_cold_node_bears(recording: Recording) -> None:
+def test_rule_4_more_offers_than_a_cold_node_can_take(recording: Recording) -> None:
     records, rules = recording
-    _, request = offer_of(records, "batch")
+    _, request = find_second_offer(records, "batch")
     first = next(r for r in records if r.channel.startswith("list:") and r.direction == "<")
     parsed = MessageDecoder().feed(first.data)
     assert isinstance(parsed[0], Listed)
     entry = parsed[0].entries[0]
     ready = records[-1].at_ns
     fresh = type(entry)(**{f: getattr(entry, f) for f in entry.__struct_fields__} | {"ready_ns": ready})
-    told = replace(first, at_ns=ready + MS, data=encode(Listed("changes", 99, [fresh])))
+    list_record = replace(first, at_ns=ready + MS, data=encode(Listed("changes", 99, [fresh])))
     many = [
         Record(
             ready + 10 * MS + at * MS, 800_000 + at, f"node:{entry.name}", ">",
@@ -199,13 +201,13 @@
         )
         for at in range(rules.cold_safe + 1)
     ]  # fmt: skip
-    assert broken(judge([*records, told, *many[:-1]], rules)) == set()
-    assert broken(judge([*records, told, *many], rules)) == {RULES[3]}
+    assert find_broken_rules(judge([*records, list_record, *many[:-1]], rules)) == set()
+    assert find_broken_rules(judge([*records, list_record, *many], rules)) == {RULES[3]}
 
 
 def test_rule_5_more_of_a_service_in_one_rack_than_its_queue_allows(recording: Recording) -> None:
     records, rules = recording
-    sent, request = offer_of(records, "web")
+    sent, request = find_second_offer(records, "web")
     most = rules.queues["web"].spread_most
     extra = [
         Record(
@@ -214,10 +216,10 @@
         )
         for at in range(most)
     ]  # fmt: skip
-    assert broken(judge([*records, *extra], rules)) == {RULES[4]}
+    assert find_broken_rules(judge([*records, *extra], rules)) == {RULES[4]}
 
 
-def test_a_recording_that_is_cut_off_is_told(recording: Recording, tmp_path: Path) -> None:
+def test_a_truncated_recording_is_reported(recording: Recording, tmp_path: Path) -> None:
     path = tmp_path / "cut.tap"
     path.write_bytes(b"\0" * 5)
     with pytest.raises(ValueError, match="ends inside a record"):
