--- a/ladderhub/server/submitting.py
+++ b/ladderhub/server/submitting.py
@@ -80,10 +80,10 @@
     def job_script(self, connection: ServerConnection, request: Request, answer: ReplyCallback) -> None:
         draft = connection.draft
         assert draft is not None
-        if len(draft.script) + len(request.data) > n.SCRIPT_MOST:
+        if len(draft.script) + len(request.data) > n.MAX_SCRIPT_BYTES:
             # A Commit that is already on its way must not submit half a script.
             connection.drop_draft()
-            answer(refusal(n.BAD_SCRIPT, f"the script is longer than {n.SCRIPT_MOST} bytes"))
+            answer(refusal(n.BAD_SCRIPT, f"the script is longer than {n.MAX_SCRIPT_BYTES} bytes"))
             return
         draft.script += request.data
         answer(Reply())
