--- a/ladderhub/lab/auditor/reader.py
+++ b/ladderhub/lab/auditor/reader.py
@@ -22,7 +22,7 @@
     def __init__(self) -> None:
         self.jobs: dict[str, ObservedJob] = {}
         self.attempts: list[Attempt] = []
-        self.notices: dict[tuple[str, str], list[NodeNotice]] = defaultdict(list)  # scheduler, node ->
+        self.notices: dict[tuple[str, str], list[NodeNotice]] = defaultdict(list)  # by scheduler, node
         self.racks: dict[str, str] = {}  # node -> rack
         self.killed: dict[str, list[int]] = defaultdict(list)  # scheduler -> times at which it was killed
         self.parse_errors: list[str] = []
--- a/ladderhub/lab/rollout_audit.py
+++ b/ladderhub/lab/rollout_audit.py
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceLimits:
-    """The limits that an update of a service must keep."""
+    """The limits that an update of a service must keep.  `unsafe`: no slot may have two copies at once."""
 
     count: int
     down: int
--- a/ladderhub/server/settings/checks.py
+++ b/ladderhub/server/settings/checks.py
@@ -80,8 +80,8 @@
         except ResourceError:
             raise self.make_error(path, text, "a size with its unit, as 64gb,") from None
 
-    def parse_choice(self, path: str, table: dict[str, str], word: str) -> str:
-        """Return the table's value for the word of a field."""
-        if word not in table:
-            raise self.make_error(path, word, "one of " + ", ".join(table))
-        return table[word]
+    def parse_choice(self, path: str, table: dict[str, str], choice: str) -> str:
+        """Return the table's value for the choice written in a field."""
+        if choice not in table:
+            raise self.make_error(path, choice, "one of " + ", ".join(table))
+        return table[choice]
