--- a/ladderhub/lab/auditor/judge.py
+++ b/ladderhub/lab/auditor/judge.py
@@ -133,8 +133,8 @@
     # --- drains kept --------------------------------------------------------------------------------------
 
     def _judge_drain(self, attempt: Attempt) -> None:
-        """Check that no offer is sent after the grace once its scheduler learned that the node drains or is
-        gone."""
+        """Check that a scheduler sends no offer later than the grace after it learned that the node drains or
+        is gone."""
         self._count_checks(Rule.DRAIN)
         since_ns = -1  # time of the first of the uninterrupted notices that the node drains or is gone
         for notice in self._recording.notices[attempt.scheduler, attempt.node]:
