--- a/tests/peers/test_peer_service.py
+++ b/tests/peers/test_peer_service.py
@@ -45,7 +45,7 @@
     } | peers
     world.settings["schedulers"] = 2
     daemon = world.daemon(name)
-    service = next(part for part in daemon.components if isinstance(part, PeerService))
+    service = next(each for each in daemon.components if isinstance(each, PeerService))
     return daemon, service
 
 
@@ -61,7 +61,7 @@
     world.until(lambda: names(one) == names(two) == ["alpha", "beta"])
 
     def shows_both_as_sure() -> bool:
-        row = world.ask(lambda client, told: client.send(Request(n.STATUS_SERVER), told)).rows[0]
+        row = world.ask(lambda client, on_reply: client.send(Request(n.STATUS_SERVER), on_reply)).rows[0]
         page = daemon.metrics.render_page()[2].decode()
         shown = (row.get("members"), row.get("membership")) == ("alpha, beta", "sure")
         return shown and "ladderhub_members 2.0" in page and "ladderhub_membership_sure 1.0" in page
