--- a/benchmarks/capacity_tables.py
+++ b/benchmarks/capacity_tables.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from ladderhub.lab.scale.report import Report, RoleFigures, RunFigures, figures_of
+from ladderhub.lab.scale.report import Report, RoleFigures, RunFigures, collect_figures
 
 MISSING = "not measured"
 ROLE_FIGURES = {
@@ -99,7 +99,7 @@
     role: str, predicted: Mapping[str, float], full: list[RunFigures], budgets: Mapping[str, float]
 ) -> Iterable[list[str]]:
     """A role's figures: predicted, measured in each full run with the prediction's error, and the budget."""
-    measured = [figures_of(run) for run in full]
+    measured = [collect_figures(run) for run in full]
     for name in ROLE_FIGURES[role]:
         figure = f"{role}.{name}"
         said = predicted.get(figure)
--- a/benchmarks/hollow.py
+++ b/benchmarks/hollow.py
@@ -26,7 +26,7 @@
 from ladderhub.lab.ports import free_port
 from ladderhub.lab.process import module
 from ladderhub.lab.scale.hollow_schedulers import HollowPlan, HollowResult
-from ladderhub.lab.scale.measure import WHOLE, Counted, counted_on, fetch, gauge_on
+from ladderhub.lab.scale.measure import ALL_CAUSES, Counters, parse_counters, fetch_page, parse_gauge
 
 VOTERS, MEASURED = 3, 4
 SETTLE_S = 25.0  # voters are silent for a lease, and slots rest before they are used
@@ -117,15 +117,15 @@
     def _wait_ready(self) -> None:
         until = time.monotonic() + READY_S
         while time.monotonic() < until:
-            pages = [fetch(self._http[at], "/metrics") for at in range(MEASURED)]
-            if all(page and gauge_on(page, "ladderhub_members") == self._total for page in pages):
+            pages = [fetch_page(self._http[at], "/metrics") for at in range(MEASURED)]
+            if all(page and parse_gauge(page, "ladderhub_members") == self._total for page in pages):
                 return
             time.sleep(0.5)
         raise SystemExit(f"the schedulers did not come together; see {self._folder}")
 
-    def _read(self, at: int) -> Counted:
-        page = fetch(self._http[at], "/metrics")
-        counted = counted_on(page) if page else None
+    def _read(self, at: int) -> Counters:
+        page = fetch_page(self._http[at], "/metrics")
+        counted = parse_counters(page) if page else None
         if counted is None:
             raise SystemExit(f"no counters on the page of scheduler {at}; see {self._folder}")
         return counted
@@ -140,12 +140,12 @@
                 process.kill()
 
 
-def _spent(before: Counted, after: Counted, seconds: float) -> Spent:
-    def passed(counted: Counted, what: str) -> float:
+def _spent(before: Counters, after: Counters, seconds: float) -> Spent:
+    def passed(counted: Counters, what: str) -> float:
         kinds = getattr(counted, what)
         return sum((each.in_ or 0) + (each.out or 0) for kind, each in kinds.items() if kind not in OTHERS)
 
-    def processor(counted: Counted) -> float:
+    def processor(counted: Counters) -> float:
         return counted.processor_s["peers"] + counted.processor_s["configuration"]
 
     return Spent(
@@ -182,7 +182,7 @@
             f"{100 * each.processor:.2f} % of a core"
         )
     for result in results:
-        whole = result.counted.processor_s[WHOLE] / result.seconds
+        whole = result.counted.processor_s[ALL_CAUSES] / result.seconds
         seen = result.members_seen
         print(
             f"N={count} process of {result.count}: members seen {seen.least} to {seen.most}; leases held "
--- a/ladderhub/lab/scale/fleet.py
+++ b/ladderhub/lab/scale/fleet.py
@@ -23,7 +23,7 @@
 from ladderhub.lab.scale.churn import Trouble
 from ladderhub.lab.scale.hollow_nodes import HostResult
 from ladderhub.lab.scale.load import Sent
-from ladderhub.lab.scale.measure import Counted, counted_by_directory, fetch, gauge_on, written_anew
+from ladderhub.lab.scale.measure import Counters, counted_by_directory, fetch_page, parse_gauge, written_anew
 from ladderhub.lab.scale.plan import Plan, ScaleError, Size
 
 SCHEDULER, ELECTOR, DIRECTORY, NODE_AGENT = "scheduler", "elector", "directory", "node_agent"
@@ -174,22 +174,22 @@
         return self._each_tells("ladderhub_members", self.size.schedulers)
 
     def _each_tells(self, gauge: str, wanted: int) -> bool:
-        pages = (fetch(scheduler.http, "/metrics") for scheduler in self.schedulers)
-        return all(page is not None and gauge_on(page, gauge) == wanted for page in pages)
+        pages = (fetch_page(scheduler.http, "/metrics") for scheduler in self.schedulers)
+        return all(page is not None and parse_gauge(page, gauge) == wanted for page in pages)
 
     # --- what processes without a metrics page count ---------------------------------------------------
 
-    def counted_by_directory(self) -> Counted | None:
+    def counted_by_directory(self) -> Counters | None:
         """None where the directory does not tell in time."""
         (child,) = self.children.of(DIRECTORY)
         told = written_anew(self.directory_stats, partial(child.signal, signal.SIGUSR1))
         return counted_by_directory(self.directory_stats) if told else None
 
-    def counted_by_nodes(self, host: Helper) -> Counted | None:
+    def counted_by_nodes(self, host: Helper) -> Counters | None:
         """None where the process of nodes does not tell in time."""
         file = host.out.with_name(host.out.name + ".counted")
         told = written_anew(file, partial(host.child.tell, f"count {file}"))
-        return msgspec.json.decode(file.read_bytes(), type=Counted) if told else None
+        return msgspec.json.decode(file.read_bytes(), type=Counters) if told else None
 
     # --- load and troubles ------------------------------------------------------------------------------
 
--- a/ladderhub/lab/scale/hollow_schedulers.py
+++ b/ladderhub/lab/scale/hollow_schedulers.py
@@ -20,7 +20,7 @@
 from ladderhub.dispatcher import EventDispatcher
 from ladderhub.lab.ports import free_port
 from ladderhub.lab.scale.children import raise_descriptor_limit
-from ladderhub.lab.scale.measure import Counted, counted_by
+from ladderhub.lab.scale.measure import Counters, counted_by
 from ladderhub.loop import Loop
 from ladderhub.membership import LeaseHolder, LeaseSettings, MemberSettings, MembershipView
 from ladderhub.membership.types import MembershipSummary, Stop
@@ -71,8 +71,8 @@
     revision_least: int
     datagrams_unsent: int
     troubles: int
-    counted: Counted
-    member_mean: Counted
+    counted: Counters
+    member_mean: Counters
 
 
 @dataclass(frozen=True, slots=True)
--- a/ladderhub/lab/scale/measure.py
+++ b/ladderhub/lab/scale/measure.py
@@ -21,7 +21,7 @@
 NS = 1_000_000_000
 PROCESSOR, BYTES, MESSAGES = "ladderhub_processor_seconds", "ladderhub_bytes", "ladderhub_messages"
 IN, OUT = "in", "out"
-WHOLE = "whole"  # the cause where time is not told apart
+ALL_CAUSES = "whole"  # the cause where time is not told apart
 
 
 class Traffic(msgspec.Struct):
@@ -37,7 +37,7 @@
         )
 
 
-class Counted(msgspec.Struct):
+class Counters(msgspec.Struct):
     """What a process counted since its start: seconds by cause, bytes and messages by kind, work in steps."""
 
     processor_s: dict[str, float] = {}
@@ -45,9 +45,9 @@
     messages: dict[str, Traffic] = {}
     work: dict[str, float] = {}
 
-    def divided(self, share: int) -> Counted:
+    def divided(self, share: int) -> Counters:
         """The part of one of so many members of the process."""
-        return Counted(
+        return Counters(
             {cause: spent / share for cause, spent in self.processor_s.items()},
             {kind: amount.divided(share) for kind, amount in self.bytes.items()},
             {kind: amount.divided(share) for kind, amount in self.messages.items()},
@@ -62,7 +62,7 @@
     waited_s: float  # in which it could have run and no processor was free
     memory_bytes: int
     descriptors: int
-    counted: Counted | None = None
+    counted: Counters | None = None
     connections: float | None = None  # of clients, where the process has a door for them
 
 
@@ -88,7 +88,7 @@
     return len(os.listdir(f"/proc/{pid}/fd"))
 
 
-def read_process(pid: int, counted: Counted | None = None, connections: float | None = None) -> Reading:
+def read_process(pid: int, counted: Counters | None = None, connections: float | None = None) -> Reading:
     """A process as the system tells it, beside what it counted itself."""
     return Reading(
         time.monotonic(), cpu_s(pid), waited_s(pid), memory_bytes(pid), descriptors(pid), counted, connections
@@ -97,13 +97,13 @@
 
 def read_scheduler(pid: int, http: tuple[str, int]) -> Reading:
     """A `serve` process with what its metrics page tells."""
-    page = fetch(http, "/metrics")
+    page = fetch_page(http, "/metrics")
     if page is None:
         return read_process(pid)
-    return read_process(pid, counted_on(page), gauge_on(page, "ladderhub_connections"))
+    return read_process(pid, parse_counters(page), parse_gauge(page, "ladderhub_connections"))
 
 
-def fetch(address: tuple[str, int], path: str) -> str | None:
+def fetch_page(address: tuple[str, int], path: str) -> str | None:
     """A page of a process; None where it does not answer well."""
     host, port = address
     try:
@@ -113,18 +113,18 @@
         return None
 
 
-def counted_by(processor_s: float, traffic: usage.Traffic) -> Counted:
+def counted_by(processor_s: float, traffic: usage.Traffic) -> Counters:
     """What a process of the laboratory counted; its processor time has no causes."""
-    counted = Counted({WHOLE: processor_s})
+    counted = Counters({ALL_CAUSES: processor_s})
     for kind, count in traffic.kinds.items():
         counted.bytes[kind] = Traffic(count.bytes_in, count.bytes_out)
         counted.messages[kind] = Traffic(count.messages_in, count.messages_out)
     return counted
 
 
-def counted_on(page: str) -> Counted | None:
+def parse_counters(page: str) -> Counters | None:
     """The counters on a metrics page; None where it has none of them."""
-    counted = Counted()
+    counted = Counters()
     for family in text_string_to_metric_families(page):
         for sample in family.samples:
             if not sample.name.endswith("_total"):
@@ -142,10 +142,10 @@
     return counted if found else None
 
 
-def counted_by_directory(file: Path) -> Counted:
+def counted_by_directory(file: Path) -> Counters:
     """The statistics file of a directory."""
     stats: DirectoryStats = msgspec.json.decode(file.read_bytes(), type=DirectoryStats)
-    counted = Counted({WHOLE: stats.processor_seconds})
+    counted = Counters({ALL_CAUSES: stats.processor_seconds})
     for kind, row in stats.traffic.items():
         counted.bytes[kind] = Traffic(row["bytes_in"], row["bytes_out"])
         counted.messages[kind] = Traffic(row["messages_in"], row["messages_out"])
@@ -166,7 +166,7 @@
     return True
 
 
-def gauge_on(page: str, name: str) -> float | None:
+def parse_gauge(page: str, name: str) -> float | None:
     """A single value on a metrics page."""
     for line in page.splitlines():
         if line.startswith(f"{name} "):
--- a/ladderhub/lab/scale/report.py
+++ b/ladderhub/lab/scale/report.py
@@ -168,7 +168,7 @@
             yield name, value * role.count
 
 
-def figures_of(run: RunFigures) -> dict[str, float]:
+def collect_figures(run: RunFigures) -> dict[str, float]:
     """Every measured figure of a run by its name, as `scheduler.cores.lists`."""
     figures: dict[str, float] = {"running": run.running}
     for role, measured in run.roles.items():
--- a/ladderhub/lab/scale/stages.py
+++ b/ladderhub/lab/scale/stages.py
@@ -14,7 +14,7 @@
 
 from ladderhub.lab.scale.budgets import BudgetVerdict, judge
 from ladderhub.lab.scale.plan import DIMENSIONS, Plan, ScaleError, at_shares, slope_sizes
-from ladderhub.lab.scale.report import Prediction, RunFigures, figures_of, write_lasting
+from ladderhub.lab.scale.report import Prediction, RunFigures, collect_figures, write_lasting
 from ladderhub.lab.scale.run import RunPlan, play
 from ladderhub.lab.scale.slopes import Point, PredictionError, Slope, compare, predict, slope
 
@@ -79,7 +79,7 @@
 
 def fit_slopes(plan: Plan, runs: Sequence[RunFigures]) -> list[Slope]:
     """The line of every figure that each of a dimension's runs has, along every dimension."""
-    figures = {run.dimensions: figures_of(run) for run in runs}
+    figures = {run.dimensions: collect_figures(run) for run in runs}
     slopes = []
     for dimension, points in slope_sizes(plan).items():
         measured = [(size.value(dimension), figures[size]) for _, size in points if size in figures]
@@ -116,12 +116,12 @@
 
 def held_against(prediction: Prediction, run: RunFigures) -> list[PredictionError]:
     """The whole size as it was played beside what was predicted."""
-    return compare(prediction.figures, figures_of(run))
+    return compare(prediction.figures, collect_figures(run))
 
 
 def verdicts(plan: Plan, run: RunFigures) -> list[BudgetVerdict]:
     """The plan's budgets against one run."""
-    return judge(plan.budgets, figures_of(run))
+    return judge(plan.budgets, collect_figures(run))
 
 
 def playing(say: Callable[[str], None]) -> Play:
--- a/tests/lab/test_scale_parts.py
+++ b/tests/lab/test_scale_parts.py
@@ -18,12 +18,19 @@
 )  # fmt: skip
 from ladderhub.lab.scale.churn import draw_troubles
 from ladderhub.lab.scale.load import Sent, SentJob, fill_times
-from ladderhub.lab.scale.measure import Counted, Reading, Traffic, counted_by_directory, counted_on, gauge_on
+from ladderhub.lab.scale.measure import (
+    Counters,
+    Reading,
+    Traffic,
+    counted_by_directory,
+    parse_counters,
+    parse_gauge,
+)
 from ladderhub.lab.scale.plan import (
     DIMENSIONS, Budget, Control, Overrides, Plan, PlanError, ScaleError, at_shares, checked, load_plan,
     overridden, slope_sizes,
 )  # fmt: skip
-from ladderhub.lab.scale.report import ChangeFigures, RoleFigures, RunFigures, figures_of
+from ladderhub.lab.scale.report import ChangeFigures, RoleFigures, RunFigures, collect_figures
 from ladderhub.lab.scale.roles import client_doors, figures_of_process, mean_of_role
 from ladderhub.lab.scale.run import RunPlan, running_at
 from ladderhub.lab.scale.settings import elector_count, host_plans, load_plans, node_plans, teams_settings
@@ -242,10 +249,10 @@
 
 
 def test_counters_are_read_off_the_metrics_page() -> None:
-    counted = counted_on(PAGE)
-    assert counted == Counted({"jobs": 2.5, "lists": 0.5}, {"lists": Traffic(1000.0, 10.0)}, {})
-    assert gauge_on(PAGE, "ladderhub_nodes") == 60.0 and gauge_on(PAGE, "ladderhub_members") is None
-    assert counted_on("ladderhub_nodes 60.0\n") is None, "a page without them was not measured"
+    counted = parse_counters(PAGE)
+    assert counted == Counters({"jobs": 2.5, "lists": 0.5}, {"lists": Traffic(1000.0, 10.0)}, {})
+    assert parse_gauge(PAGE, "ladderhub_nodes") == 60.0 and parse_gauge(PAGE, "ladderhub_members") is None
+    assert parse_counters("ladderhub_nodes 60.0\n") is None, "a page without them was not measured"
 
 
 def test_a_directorys_statistics_are_read_with_its_work_in_steps(tmp_path: Path) -> None:
@@ -258,19 +265,19 @@
     counted = counted_by_directory(file)
     assert counted.bytes == {"node": Traffic(5, 6)} and counted.messages == {"node": Traffic(1, 2)}
     assert counted.work == work and counted.processor_s == {"whole": 0.5}
-    before = Counted({}, {}, {}, {"log_entries_walked": 2.0})
+    before = Counters({}, {}, {}, {"log_entries_walked": 2.0})
     rates = figures_of_process(reading(0.0, 0.0, before), reading(2.0, 0.0, counted), Control([], []))
     assert rates.work_per_s["log_entries_walked"] == 2.5
 
 
-def reading(at_s: float, processor_s: float, counted: Counted | None = None) -> Reading:
+def reading(at_s: float, processor_s: float, counted: Counters | None = None) -> Reading:
     return Reading(at_s, processor_s, at_s / 5, 50_000_000, 12, counted)
 
 
 def test_a_roles_figures_are_rates_over_the_span_and_control_needs_every_summand() -> None:
     lists = {"directory": Traffic(300.0, 20.0), "ping": Traffic(10.0, 10.0), "client": Traffic(9e9, 9e9)}
-    before = Counted({"jobs": 1.0, "lists": 1.0}, {"directory": Traffic(100.0, 0.0)}, {})
-    after = Counted({"jobs": 5.0, "lists": 2.0}, lists, {})
+    before = Counters({"jobs": 1.0, "lists": 1.0}, {"directory": Traffic(100.0, 0.0)}, {})
+    after = Counters({"jobs": 5.0, "lists": 2.0}, lists, {})
     readings = reading(10.0, 4.0, before), reading(20.0, 9.0, after)
     spent = figures_of_process(*readings, Control(["lists"], ["client"]))
     assert (spent.cores, spent.memory_mb, spent.descriptors) == (0.5, 50.0, 12)
@@ -434,12 +441,12 @@
     role = RoleFigures(1, 50.0, 0.2, 9.0, {"lists": 0.1}, {"lists": Traffic(3.0, None)})
     change = ChangeFigures(2, 0.5, 0.9, 0.9)
     size = load_plan().size
-    figures = figures_of(RunFigures("r", size, 1.0, 1, {"scheduler": role}, {}, change, 5.0))
+    figures = collect_figures(RunFigures("r", size, 1.0, 1, {"scheduler": role}, {}, change, 5.0))
     assert figures["scheduler.cores.lists"] == 0.1 and figures["scheduler.bytes_per_s.lists.in"] == 3.0
     assert "scheduler.bytes_per_s.lists.out" not in figures and "scheduler.control.cores" not in figures
     assert figures["change_in_force_s.most"] == 0.9
     role.count, role.hosted, role.most = 4, True, {"cores": 0.3}
-    figures = figures_of(RunFigures("r", size, 1.0, 1, {"node_agent": role}, {}, change, 5.0))
+    figures = collect_figures(RunFigures("r", size, 1.0, 1, {"node_agent": role}, {}, change, 5.0))
     assert figures["node_agent.all.cores"] == pytest.approx(0.8) and "node_agent.cores" not in figures
     assert not any(".most." in name for name in figures), "the most of a part is no sum"
 
