--- a/ladderhub/lab/scale/budgets.py
+++ b/ladderhub/lab/scale/budgets.py
@@ -1,4 +1,4 @@
-"""Budgets: each figure against the most that it may be.  What was not measured never counts as held."""
+"""Checks figures against their budgets.  A budget whose figure was not measured does not hold."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class BudgetVerdict(msgspec.Struct):
-    """One budget; `measured` is None where the figure was not measured."""
+    """The result for one budget; `measured` is None if the figure was not measured."""
 
     figure: str
     limit: float
@@ -18,8 +18,8 @@
     holds: bool
 
 
-def judge(budgets: Sequence[Budget], figures: Mapping[str, float]) -> list[BudgetVerdict]:
-    """Every budget of the plan against the figures of a run."""
+def check_budgets(budgets: Sequence[Budget], figures: Mapping[str, float]) -> list[BudgetVerdict]:
+    """Check every budget against the figures of a run."""
     verdicts = []
     for budget in budgets:
         measured = figures.get(budget.figure)
@@ -28,8 +28,8 @@
     return verdicts
 
 
-def last_line(verdicts: Sequence[BudgetVerdict]) -> str:
-    """The verdict in one line, with each figure that does not hold."""
+def format_summary(verdicts: Sequence[BudgetVerdict]) -> str:
+    """Return one line that names each figure whose budget does not hold."""
     over = [
         f"{each.figure} {each.measured:.4g} > {each.limit:g}"
         for each in verdicts
@@ -47,5 +47,5 @@
 
 
 def all_hold(verdicts: Sequence[BudgetVerdict]) -> bool:
-    """Whether there are budgets, and each of them holds."""
+    """Return whether there is at least one budget and all of them hold."""
     return bool(verdicts) and all(each.holds for each in verdicts)
--- a/ladderhub/lab/scale/fleet.py
+++ b/ladderhub/lab/scale/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet of one run: which processes there are, what each is told, and when all know of each other."""
+"""Starts and stops the processes of one run, and waits until they have discovered each other."""
 
 from __future__ import annotations
 
@@ -14,28 +14,34 @@
 
 import msgspec
 
-from ladderhub.directory.wire import MessageDecoder, Listed, Watch, encode
+from ladderhub.directory.wire import Listed, MessageDecoder, Watch, encode
 from ladderhub.lab.ports import free_port
 from ladderhub.lab.process import module
-from ladderhub.lab.scale import settings as tell
-from ladderhub.lab.scale.changes import changed_settings
+from ladderhub.lab.scale import settings as run_settings
+from ladderhub.lab.scale.changes import make_changed_settings
 from ladderhub.lab.scale.children import Child, Children
-from ladderhub.lab.scale.churn import Trouble
+from ladderhub.lab.scale.churn import ChurnEvent
 from ladderhub.lab.scale.hollow_nodes import HostResult
-from ladderhub.lab.scale.load import Sent
-from ladderhub.lab.scale.measure import Counters, counted_by_directory, fetch_page, parse_gauge, written_anew
+from ladderhub.lab.scale.load import LoadResult
+from ladderhub.lab.scale.measure import (
+    Counters,
+    fetch_page,
+    parse_gauge,
+    read_directory_counters,
+    request_file,
+)
 from ladderhub.lab.scale.plan import Plan, ScaleError, Size
 
 SCHEDULER, ELECTOR, DIRECTORY, NODE_AGENT = "scheduler", "elector", "directory", "node_agent"
 HOLLOW_SCHEDULER, LOAD, CHANGE = "hollow_scheduler", "load", "change"
 HOST = "127.0.0.1"
-LOOK_S = 0.25
+POLL_S = 0.25
 Address = tuple[str, int]
 
 
 @dataclass(slots=True)
 class RealScheduler:
-    """One `ladderhub serve`: where it listens, and its process."""
+    """A `ladderhub serve` process with its addresses and its settings file."""
 
     name: str
     listen: Address
@@ -46,9 +52,10 @@
 
 
 @dataclass(slots=True)
-class Helper:
-    """A process of nodes, of load or of hollow schedulers, with the file that it writes at its end.  `share`:
-    how many members it hosts."""
+class HostProcess:
+    """A process of nodes, load or hollow schedulers, with the file that it writes when it exits.
+
+    `share` is the number of members that it hosts."""
 
     child: Child
     out: Path
@@ -56,175 +63,204 @@
 
 
 class ScaleFleet:
-    """All processes of one run.  End it with `close`, whatever happened."""
+    """All processes of one run.  `close` has to be called, also after an error."""
 
     def __init__(self, plan: Plan, size: Size, folder: Path, seed: int) -> None:
         self.plan, self.size, self.folder, self.seed = plan, size, folder, seed
         folder.mkdir(parents=True, exist_ok=True)
         bounds = plan.playing
         self.children = Children(folder, bounds.processes_most, bounds.memory_gib_most, bounds.run_s_most)
-        self.nodes = tell.node_plans(plan, size, seed)
+        self.nodes = run_settings.build_node_plans(plan, size, seed)
         self.directory_address: Address = (HOST, free_port())
         self.directory_stats = folder / "directory.json"
         self.schedulers: list[RealScheduler] = []
-        self.hosts: list[Helper] = []
-        self.loads: list[Helper] = []
-        self.hollow: list[Helper] = []
+        self.hosts: list[HostProcess] = []
+        self.loads: list[HostProcess] = []
+        self.hollow: list[HostProcess] = []
         self.changes: list[Child] = []
-        self._host_of: dict[str, Helper] = {}
+        self._host_by_node: dict[str, HostProcess] = {}
         self._peer_addresses = [(HOST, free_port()) for _ in range(plan.real_schedulers)]
-        self.electors = tell.elector_count(plan.peers.electors, plan.real_schedulers)
+        self.electors = run_settings.compute_elector_count(plan.peers.electors, plan.real_schedulers)
 
     # --- starting ---------------------------------------------------------------------------------------
 
     def start(self) -> None:
-        """Everything up and knowing of each other, without load; `ScaleError` where that does not come."""
+        """Start all processes except the load and wait until they have discovered each other.
+
+        Raises `ScaleError` if that takes too long."""
         self._start_directory()
         self._start_nodes()
-        self._await("nodes registered", self._all_listed, self.plan.playing.register_s)
+        self._wait_until("all nodes are registered", self._are_all_nodes_listed, self.plan.playing.register_s)
         self._start_schedulers()
         self._start_hollow_schedulers()
-        self._await("schedulers know every node", self._all_know_the_nodes, self.plan.playing.ready_s)
-        self._await("schedulers know each other", self._all_know_each_other, self.plan.playing.ready_s)
-        self.children.pause(self.plan.playing.join_s)
+        self._wait_until(
+            "the schedulers list every node", self._is_every_node_known, self.plan.playing.ready_s
+        )
+        self._wait_until(
+            "the schedulers list each other as members",
+            self._is_every_member_known,
+            self.plan.playing.ready_s,
+        )
+        self.children.sleep(self.plan.playing.join_s)
 
     def _start_directory(self) -> None:
-        listen, stats = tell.text(self.directory_address), str(self.directory_stats)
+        listen, stats = run_settings.format_address(self.directory_address), str(self.directory_stats)
         argv = module("ladderhub", "directory", "--listen", listen, "--stats", stats)
         self.children.start("directory", DIRECTORY, argv)
 
     def _start_nodes(self) -> None:
-        for at, plan in enumerate(tell.host_plans(self.plan, self.nodes, self.directory_address)):
-            helper = self._start_helper("hollow_nodes", NODE_AGENT, f"nodes-{at}", plan)
-            helper.share = len(plan.nodes)
-            self.hosts.append(helper)
-            self._host_of |= {node.name: helper for node in plan.nodes}
-
-    def _start_helper(self, module_name: str, role: str, name: str, told: msgspec.Struct) -> Helper:
+        for index, plan in enumerate(
+            run_settings.build_host_plans(self.plan, self.nodes, self.directory_address)
+        ):
+            host = self._start_host_process("hollow_nodes", NODE_AGENT, f"nodes-{index}", plan)
+            host.share = len(plan.nodes)
+            self.hosts.append(host)
+            self._host_by_node |= {node.name: host for node in plan.nodes}
+
+    def _start_host_process(
+        self, module_name: str, role: str, name: str, plan: msgspec.Struct
+    ) -> HostProcess:
         file, out = self.folder / f"{name}.plan.json", self.folder / f"{name}.out.json"
-        file.write_bytes(msgspec.json.encode(told))
+        file.write_bytes(msgspec.json.encode(plan))
         out.unlink(missing_ok=True)
         argv = module(f"ladderhub.lab.scale.{module_name}", str(file), str(out))
-        return Helper(self.children.start(name, role, argv), out)
+        return HostProcess(self.children.start(name, role, argv), out)
 
     def _start_schedulers(self) -> None:
-        for at in range(self.plan.real_schedulers):
-            name = f"sched{at}"
+        for index in range(self.plan.real_schedulers):
+            name = f"sched{index}"
             listen, http = (HOST, free_port()), (HOST, free_port())
             folder = self.folder / name
             folder.mkdir(exist_ok=True)
             file = folder / "settings.jsonnet"
-            file.write_text(json.dumps(self._settings(at, name, listen, http, folder), indent=2))
-            role = ELECTOR if at < self.electors else SCHEDULER
+            file.write_text(json.dumps(self._build_settings(index, name, listen, http, folder), indent=2))
+            role = ELECTOR if index < self.electors else SCHEDULER
             child = self.children.start(name, role, module("ladderhub", "serve", str(file)))
-            self.schedulers.append(RealScheduler(name, listen, http, self._peer_addresses[at], file, child))
+            self.schedulers.append(
+                RealScheduler(name, listen, http, self._peer_addresses[index], file, child)
+            )
 
-    def _settings(self, at: int, name: str, listen: Address, http: Address, folder: Path) -> dict[str, Any]:
+    def _build_settings(
+        self, index: int, name: str, listen: Address, http: Address, folder: Path
+    ) -> dict[str, Any]:
         return self.plan.settings | {
-            "server": name, "listen": tell.text(listen), "http": tell.text(http), "spool": str(folder),
-            "directory": tell.text(self.directory_address), "seed": self.seed + at,
-            "schedulers": self.size.schedulers, "ordinal": at,
-            "tenants": tell.teams_settings(self.plan, self.size, self.nodes),
+            "server": name, "listen": run_settings.format_address(listen),
+            "http": run_settings.format_address(http), "spool": str(folder),
+            "directory": run_settings.format_address(self.directory_address), "seed": self.seed + index,
+            "schedulers": self.size.schedulers, "ordinal": index,
+            "tenants": run_settings.build_team_settings(self.plan, self.size, self.nodes),
             "peers": {
-                "listen": tell.text(self._peer_addresses[at]), "seeds": self._seeds(),
-                "cluster": tell.CLUSTER, "period": self.plan.peers.period, "lease": self.plan.peers.lease,
-                "electors": self._elector_addresses(),
+                "listen": run_settings.format_address(self._peer_addresses[index]),
+                "seeds": self._get_seed_addresses(), "cluster": run_settings.CLUSTER,
+                "period": self.plan.peers.period, "lease": self.plan.peers.lease,
+                "electors": self._get_elector_addresses(),
             },
         }  # fmt: skip
 
-    def _seeds(self) -> list[str]:
-        return [tell.text(address) for address in self._peer_addresses[: self.plan.peers.seeds]]
+    def _get_seed_addresses(self) -> list[str]:
+        return [
+            run_settings.format_address(address) for address in self._peer_addresses[: self.plan.peers.seeds]
+        ]
 
-    def _elector_addresses(self) -> list[str]:
-        return [tell.text(address) for address in self._peer_addresses[: self.electors]]
+    def _get_elector_addresses(self) -> list[str]:
+        return [run_settings.format_address(address) for address in self._peer_addresses[: self.electors]]
 
     def _start_hollow_schedulers(self) -> None:
         count = self.size.schedulers - self.plan.real_schedulers
         processes = min(count, self.plan.playing.hollow_processes)
-        for at in range(processes):
-            share = len(range(at, count, processes))
-            told = tell.HollowPlan(
-                tell.CLUSTER, self._seeds(), self._elector_addresses(), share, self.plan.peers.period,
-                self.plan.peers.lease, self.size.schedulers, self.seed + at * count,
-                self.plan.settings["nodes"]["cold"]["window"], f"hollow{at}-",
+        for index in range(processes):
+            share = len(range(index, count, processes))
+            plan = run_settings.HollowPlan(
+                run_settings.CLUSTER, self._get_seed_addresses(), self._get_elector_addresses(), share,
+                self.plan.peers.period, self.plan.peers.lease, self.size.schedulers,
+                self.seed + index * count, self.plan.settings["nodes"]["cold"]["window"], f"hollow{index}-",
             )  # fmt: skip
-            helper = self._start_helper("hollow_schedulers", HOLLOW_SCHEDULER, f"hollow-{at}", told)
-            helper.share = share
-            self.hollow.append(helper)
+            host = self._start_host_process("hollow_schedulers", HOLLOW_SCHEDULER, f"hollow-{index}", plan)
+            host.share = share
+            self.hollow.append(host)
 
     # --- waiting ----------------------------------------------------------------------------------------
 
-    def _await(self, what: str, done: Callable[[], bool], seconds: float) -> None:
-        until = time.monotonic() + seconds
-        while not done():
-            if time.monotonic() >= until:
-                raise ScaleError(f"{what}: not within {seconds:g} s", where=str(self.folder))
-            self.children.pause(LOOK_S)
+    def _wait_until(self, condition: str, is_met: Callable[[], bool], seconds: float) -> None:
+        deadline = time.monotonic() + seconds
+        while not is_met():
+            if time.monotonic() >= deadline:
+                raise ScaleError(
+                    f"timed out after {seconds:g} s while waiting until {condition}", where=str(self.folder)
+                )
+            self.children.sleep(POLL_S)
 
-    def _all_listed(self) -> bool:
+    def _are_all_nodes_listed(self) -> bool:
         try:
-            return listed(self.directory_address) >= self.size.nodes
+            return count_listed_nodes(self.directory_address) >= self.size.nodes
         except OSError:
             return False
 
-    def _all_know_the_nodes(self) -> bool:
-        return self._each_tells("ladderhub_nodes", self.size.nodes)
+    def _is_every_node_known(self) -> bool:
+        return self._is_gauge_equal_everywhere("ladderhub_nodes", self.size.nodes)
 
-    def _all_know_each_other(self) -> bool:
-        return self._each_tells("ladderhub_members", self.size.schedulers)
+    def _is_every_member_known(self) -> bool:
+        return self._is_gauge_equal_everywhere("ladderhub_members", self.size.schedulers)
 
-    def _each_tells(self, gauge: str, wanted: int) -> bool:
+    def _is_gauge_equal_everywhere(self, gauge: str, expected: int) -> bool:
         pages = (fetch_page(scheduler.http, "/metrics") for scheduler in self.schedulers)
-        return all(page is not None and parse_gauge(page, gauge) == wanted for page in pages)
+        return all(page is not None and parse_gauge(page, gauge) == expected for page in pages)
 
-    # --- what processes without a metrics page count ---------------------------------------------------
+    # --- counters of processes without a metrics page ---------------------------------------------------
 
-    def counted_by_directory(self) -> Counters | None:
-        """None where the directory does not tell in time."""
-        (child,) = self.children.of(DIRECTORY)
-        told = written_anew(self.directory_stats, partial(child.signal, signal.SIGUSR1))
-        return counted_by_directory(self.directory_stats) if told else None
+    def read_directory_counters(self) -> Counters | None:
+        """Return the directory's counters, or None if it does not write them in time."""
+        (child,) = self.children.list_by_role(DIRECTORY)
+        is_written = request_file(self.directory_stats, partial(child.signal, signal.SIGUSR1))
+        return read_directory_counters(self.directory_stats) if is_written else None
 
-    def counted_by_nodes(self, host: Helper) -> Counters | None:
-        """None where the process of nodes does not tell in time."""
+    def read_node_counters(self, host: HostProcess) -> Counters | None:
+        """Return the counters of a process of nodes, or None if it does not write them in time."""
         file = host.out.with_name(host.out.name + ".counted")
-        told = written_anew(file, partial(host.child.tell, f"count {file}"))
-        return msgspec.json.decode(file.read_bytes(), type=Counters) if told else None
+        is_written = request_file(file, partial(host.child.write_command, f"count {file}"))
+        return msgspec.json.decode(file.read_bytes(), type=Counters) if is_written else None
 
-    # --- load and troubles ------------------------------------------------------------------------------
+    # --- load, churn and configuration changes ----------------------------------------------------------
 
     def start_load(self) -> None:
         targets = [scheduler.listen for scheduler in self.schedulers]
-        for at, plan in enumerate(tell.load_plans(self.plan, self.size, targets, self.seed)):
-            self.loads.append(self._start_helper("load", LOAD, f"load-{at}", plan))
+        for index, plan in enumerate(run_settings.build_load_plans(self.plan, self.size, targets, self.seed)):
+            self.loads.append(self._start_host_process("load", LOAD, f"load-{index}", plan))
 
-    def trouble(self, trouble: Trouble) -> None:
-        """Have a node's process carry out its trouble."""
-        self._host_of[trouble.node].child.tell(trouble.command)
+    def apply_churn_event(self, event: ChurnEvent) -> None:
+        """Send the command of a churn event to the process that hosts the node."""
+        self._host_by_node[event.node].child.write_command(event.command)
 
     def change_settings(self, number: int) -> None:
-        """Have one scheduler, each in its turn, put a change of configuration in force everywhere."""
-        asked = self.schedulers[number % len(self.schedulers)]
+        """Apply a configuration change through one of the schedulers, in rotation."""
+        scheduler = self.schedulers[number % len(self.schedulers)]
         file = self.folder / f"change-{number}.jsonnet"
-        settings = json.loads(asked.file.read_text())
-        file.write_text(json.dumps(changed_settings(settings, number)))
-        argv = module("ladderhub", "policy", "apply", str(file), "--server", tell.text(asked.listen))
-        self.changes.append(self.children.start(f"change-{number}", CHANGE, argv, brief=True))
-
-    # --- the end ----------------------------------------------------------------------------------------
-
-    def stop_load(self) -> list[Sent]:
-        """End the load; what it sent."""
-        self.children.end([helper.child for helper in self.loads])
-        return [msgspec.json.decode(helper.out.read_bytes(), type=Sent) for helper in self.loads]
+        settings = json.loads(scheduler.file.read_text())
+        file.write_text(json.dumps(make_changed_settings(settings, number)))
+        argv = module(
+            "ladderhub",
+            "policy",
+            "apply",
+            str(file),
+            "--server",
+            run_settings.format_address(scheduler.listen),
+        )
+        self.changes.append(self.children.start(f"change-{number}", CHANGE, argv, short_lived=True))
+
+    # --- stopping ---------------------------------------------------------------------------------------
+
+    def stop_load(self) -> list[LoadResult]:
+        """Stop the load and return what it submitted."""
+        self.children.terminate([host.child for host in self.loads])
+        return [msgspec.json.decode(host.out.read_bytes(), type=LoadResult) for host in self.loads]
 
     def stop_nodes(self) -> list[HostResult]:
-        """End the nodes; what they saw."""
-        self.children.end([helper.child for helper in self.hosts])
-        return [msgspec.json.decode(helper.out.read_bytes(), type=HostResult) for helper in self.hosts]
+        """Stop the nodes and return their results."""
+        self.children.terminate([host.child for host in self.hosts])
+        return [msgspec.json.decode(host.out.read_bytes(), type=HostResult) for host in self.hosts]
 
     def close(self) -> None:
-        """End all processes that still run; schedulers first, while their peers and nodes are there."""
+        """Terminate all remaining processes, the schedulers first, while their peers and nodes still run."""
         try:
             for scheduler in self.schedulers:
                 scheduler.child.signal(signal.SIGTERM)
@@ -232,13 +268,13 @@
             self.children.close()
 
 
-def listed(directory: Address, seconds: float = 5.0) -> int:
-    """How many nodes a directory lists to one who asks now."""
-    lines = MessageDecoder()
+def count_listed_nodes(directory: Address, seconds: float = 5.0) -> int:
+    """Return the number of nodes that a directory lists."""
+    decoder = MessageDecoder()
     with socket.create_connection(directory, seconds) as sock:
         sock.sendall(encode(Watch("scale-run")))
         while data := sock.recv(1 << 20):
-            for message in lines.feed(data):
+            for message in decoder.feed(data):
                 if isinstance(message, Listed):
                     return len(message.entries)
     return 0
--- a/ladderhub/lab/scale/guard.py
+++ b/ladderhub/lab/scale/guard.py
@@ -1,8 +1,8 @@
-"""Ends what a scale run started, should the run itself end without doing so.
+"""Kills the processes of a scale run that exits without stopping them.
 
-`python -m ladderhub.lab.scale.guard` reads process ids, one a line, from its standard input.  At the end of
-the input, which comes also where its parent was killed, it kills those of them that still live.  A process is
-held by a descriptor, so that an id which the system gave to another process by then harms nobody.
+`python -m ladderhub.lab.scale.guard` reads process ids, one per line, from its standard input.  At the end of
+the input, which is also reached if its parent is killed, it kills those that are still running.  It refers to
+each process by a pidfd, so that it can't kill an unrelated process to which the system has given the same id.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 
 
 def main() -> None:
-    # Whoever interrupts the run from a terminal interrupts this process too: it has to outlive the run.
+    # Ctrl-C in a terminal is sent to this process too, but it has to outlive the run.
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     signal.signal(signal.SIGTERM, signal.SIG_IGN)
-    handles: list[int] = []
+    pidfds: list[int] = []
     for line in sys.stdin:
         with contextlib.suppress(ProcessLookupError):
-            handles.append(os.pidfd_open(int(line)))
-    for handle in handles:
+            pidfds.append(os.pidfd_open(int(line)))
+    for pidfd in pidfds:
         with contextlib.suppress(ProcessLookupError):
-            signal.pidfd_send_signal(handle, signal.SIGKILL)
+            signal.pidfd_send_signal(pidfd, signal.SIGKILL)
 
 
 if __name__ == "__main__":
--- a/ladderhub/lab/scale/hollow_schedulers.py
+++ b/ladderhub/lab/scale/hollow_schedulers.py
@@ -1,9 +1,9 @@
-"""Many hollow schedulers in one process: what peers see of a scheduler, without jobs and nodes.
+"""Runs many hollow schedulers in one process: they act as peers of real ones, without jobs and nodes.
 
 `python -m ladderhub.lab.scale.hollow_schedulers PLAN OUT` starts the members of PLAN, each with the decision
-modules of a real scheduler (membership, leases, revisions of the configuration), the real carriers and a
-datagram socket of its own on loopback.  None is a voter.  On SIGTERM they leave the group, and OUT gets what
-they counted.
+modules of a real scheduler (membership, leases, revisions of the configuration), the real executors and its
+own datagram socket on loopback.  None is a voter.  On SIGTERM they leave the group, and their counters are
+written to OUT.
 """
 
 from __future__ import annotations
@@ -20,25 +20,28 @@
 from ladderhub.dispatcher import EventDispatcher
 from ladderhub.lab.ports import free_port
 from ladderhub.lab.scale.children import raise_descriptor_limit
-from ladderhub.lab.scale.measure import Counters, counted_by
+from ladderhub.lab.scale.measure import Counters, collect_counters
 from ladderhub.loop import Loop
 from ladderhub.membership import LeaseHolder, LeaseSettings, MemberSettings, MembershipView
 from ladderhub.membership.types import MembershipSummary, Stop
-from ladderhub.peers.transport import PeerTransport, PeerError
 from ladderhub.peers.revisions import RevisionExecutor
+from ladderhub.peers.transport import PeerError, PeerTransport
 from ladderhub.revision import Notice, Record, Revision, Revisions, RevisionSettings
 from ladderhub.revision.types import Outcome
 from ladderhub.server.settings import parse_duration_ns
 from ladderhub.usage.traffic import Traffic
 
 HOST = "127.0.0.1"
-PORT_TRIES = 20  # another process may take a port between its choice and its use
-STARTS_PER_PERIOD = 100  # members that join in one period
-NO_POLICY = b"{}"  # what a hollow scheduler's settings file gives; only voters propose theirs
+PORT_TRIES = 20  # another process may bind a port after it was chosen
+STARTS_PER_PERIOD = 100  # number of members that join in one period
+NO_POLICY = b"{}"  # stands for the policy of a settings file; only voters propose theirs
 
 
 class HollowPlan(msgspec.Struct):
-    """The hollow schedulers of one process.  `slots` are those of the cold budget; times as `8s`."""
+    """The hollow schedulers of one process.
+
+    `slots` is the number of slots of the cold budget.  `period`, `lease` and `cold_window` are strings such
+    as `8s`."""
 
     cluster: str
     seeds: list[str]
@@ -53,7 +56,7 @@
 
 
 class MembersSeen(msgspec.Struct):
-    """How many members the hollow schedulers had in their views at the end."""
+    """The numbers of members in the views of the hollow schedulers at the end."""
 
     least: int
     mean: float
@@ -61,8 +64,9 @@
 
 
 class HollowResult(msgspec.Struct):
-    """What a process of hollow schedulers leaves.  `counted` is the sum over all of them since the start,
-    `member_mean` its part for one."""
+    """The result of a process of hollow schedulers.
+
+    `counted` is the sum over all of them since the start, `member_mean` the mean per member."""
 
     count: int
     seconds: float
@@ -77,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """Who a hollow scheduler is."""
+    """Name, life, address and random seed of a hollow scheduler."""
 
     name: str
     life: int
@@ -90,13 +94,13 @@
 
 
 class RevisionFollower:
-    """Takes each revision that the voters choose: there is nothing in it that a change would touch."""
+    """Accepts each revision that the voters choose and records its number; it has no settings to change."""
 
     def __init__(self) -> None:
         self.active = 0
 
     def store(self, record: Record) -> None:
-        """Nothing: a hollow scheduler has one life."""
+        """Do nothing: a hollow scheduler has only one life."""
 
     def check_body(self, body: bytes) -> str | None:
         return None
@@ -105,20 +109,20 @@
         self.active = revision.header.number
 
     def answer(self, request: int, outcome: Outcome) -> None:
-        """Nothing: nobody asks it."""
+        """Do nothing: a hollow scheduler gets no requests."""
 
     def hold(self, reason: str) -> None:
-        """Nothing: it has no jobs."""
+        """Do nothing: a hollow scheduler has no jobs."""
 
     def resume(self) -> None:
-        """Nothing: it has no jobs."""
+        """Do nothing: a hollow scheduler has no jobs."""
 
     def notify(self, notice: Notice, text: str) -> None:
-        """Nothing: it has no log."""
+        """Do nothing: a hollow scheduler has no log."""
 
 
 class HollowScheduler:
-    """One member with its modules, put together as `server.peers` and `server.revisions` do."""
+    """One member with its decision modules, assembled as in `server.peers` and `server.revisions`."""
 
     def __init__(self, loop: Loop, plan: HollowPlan, identity: Identity, traffic: Traffic) -> None:
         self._loop, self._plan, self._identity = loop, plan, identity
@@ -157,42 +161,42 @@
             identity.name, identity.life, identity.advertise, tuple(plan.electors), NO_POLICY
         )
         revisions = Revisions(settings, None, identity.seed)
-        self._revision_carrier = RevisionExecutor(self.transport, revisions, self.follower)
-        self._revision_carrier.join(self._dispatcher.register(revisions, self._revision_carrier))
+        self._revision_executor = RevisionExecutor(self.transport, revisions, self.follower)
+        self._revision_executor.join(self._dispatcher.register(revisions, self._revision_executor))
 
     def _on_tick(self) -> None:
         names = sorted(entry.name for entry in self.view.members())
         confirmed = self.view.confirmed and self.view.yielded_to is None
         self._tell_leases(MembershipSummary(len(names), names.index(self._identity.name), confirmed))
 
-    def _on_fault(self, event: object, fault: Exception) -> None:
+    def _on_fault(self, event: object, error: Exception) -> None:
         self.troubles += 1
-        print(f"{self._identity.name}: {event!r}: {fault!r}", file=sys.stderr, flush=True)
+        print(f"{self._identity.name}: {event!r}: {error!r}", file=sys.stderr, flush=True)
 
     def leave(self) -> None:
-        """Release what is held and leave the group."""
-        self._revision_carrier.close()
+        """Release held leases and leave the group."""
+        self._revision_executor.close()
         self._tell_leases(Stop())
         self.transport.leave()
 
 
 class HollowFleet:
-    """The members of this process."""
+    """All hollow schedulers of this process."""
 
     def __init__(self, loop: Loop, plan: HollowPlan) -> None:
         self._loop, self._plan = loop, plan
         self.traffic = Traffic()
         self.members: list[HollowScheduler] = []
-        self._begun_ns = loop.now_ns()
+        self._started_ns = loop.now_ns()
 
     def start(self) -> None:
-        """Have them join one after the other, so many in a period."""
+        """Start the members one after another, `STARTS_PER_PERIOD` in a period."""
         step_ns = parse_duration_ns(self._plan.period, "period") // STARTS_PER_PERIOD
-        for at in range(self._plan.count):
-            self._loop.call_later(at * step_ns, self._start_member, at)
+        for index in range(self._plan.count):
+            self._loop.call_later(index * step_ns, self._start_member, index)
 
-    def _start_member(self, at: int) -> None:
-        member = self._make_member(f"{self._plan.prefix}{at:04d}", self._plan.seed + at)
+    def _start_member(self, index: int) -> None:
+        member = self._make_member(f"{self._plan.prefix}{index:04d}", self._plan.seed + index)
         self.members.append(member)
         member.start()
 
@@ -201,25 +205,25 @@
             identity = Identity(name, time.time_ns(), (HOST, free_port()), seed)
             try:
                 return HollowScheduler(self._loop, self._plan, identity, self.traffic)
-            except PeerError as fault:
-                taken = fault
-        raise taken
+            except PeerError as error:
+                last_error = error
+        raise last_error
 
     def result(self) -> HollowResult:
-        """What all have counted until now."""
+        """Return the result of all members up to now."""
         now = self._loop.now_ns()
         seen = [len(member.view.members()) for member in self.members] or [0]
-        counted = counted_by(time.process_time(), self.traffic)
+        counted = collect_counters(time.process_time(), self.traffic)
         return HollowResult(
             count=len(self.members),
-            seconds=(now - self._begun_ns) / 1e9,
+            seconds=(now - self._started_ns) / 1e9,
             members_seen=MembersSeen(min(seen), sum(seen) / len(seen), max(seen)),
             leases_held=sum(len(member.leases.get_held_slots(now)) for member in self.members),
             revision_least=min((member.follower.active for member in self.members), default=0),
             datagrams_unsent=sum(member.transport.datagrams.unsent for member in self.members),
             troubles=sum(member.troubles for member in self.members),
             counted=counted,
-            member_mean=counted.divided(max(1, len(self.members))),
+            member_mean=counted.divide(max(1, len(self.members))),
         )
 
     def leave(self) -> None:
@@ -230,7 +234,7 @@
 def main() -> None:
     plan: HollowPlan = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=HollowPlan)
     raise_descriptor_limit()
-    loop = Loop(trouble=lambda where, fault: print(f"{where}: {fault!r}", file=sys.stderr, flush=True))
+    loop = Loop(trouble=lambda where, error: print(f"{where}: {error!r}", file=sys.stderr, flush=True))
     fleet = HollowFleet(loop, plan)
     fleet.start()
     gc.collect()
--- a/ladderhub/lab/scale/load.py
+++ b/ladderhub/lab/scale/load.py
@@ -1,8 +1,9 @@
-"""Jobs submitted at a rate, in a process of its own, so that its work delays nobody that is measured.
+"""Submits jobs at a given rate, in a separate process so that it does not delay the measured ones.
 
 `python -m ladderhub.lab.scale.load PLAN OUT` submits in an open loop until SIGTERM or the end of its standard
-input, each job over a connection of its own as `qsub` does, and then writes `Sent` to OUT.  Lives of jobs are
-drawn from an exponential distribution, so that as many run at any time after the filling as are wanted.
+input, each job over its own connection as `qsub` does, and then writes a `LoadResult` to OUT.  Lifetimes of
+jobs are drawn from an exponential distribution, so that the number of running jobs is constant on average
+once the initial fill is over.
 """
 
 from __future__ import annotations
@@ -22,12 +23,12 @@
 from ladderhub.loop.core import READ
 
 S = 1_000_000_000
-SETTLE_S = 5
+STOP_TIMEOUT_S = 5
 SCRIPT = b"#!/bin/sh\nexec true\n"
 
 
 class ClassPlan(msgspec.Struct):
-    """Jobs of one class."""
+    """The jobs of one class."""
 
     name: str
     share: float
@@ -37,7 +38,7 @@
 
 
 class LoadPlan(msgspec.Struct):
-    """What one process submits.  During the first `fill_s` jobs come `fill_times` as often."""
+    """The jobs that one process submits.  During the first `fill_s` the rate is `fill_times` as high."""
 
     targets: list[tuple[str, int]]
     rate: float
@@ -51,102 +52,104 @@
 
 
 class SentJob(msgspec.Struct, array_like=True):
-    """One acknowledged job; moments of the machine's monotonic clock."""
+    """One acknowledged job, with times of the machine's monotonic clock."""
 
     klass: str
     due_ns: int
     acknowledged_ns: int
 
 
-class Sent(msgspec.Struct):
-    """What was submitted: acknowledged jobs by their identifiers; when others were due, by class, and what
-    the server said to those."""
+class LoadResult(msgspec.Struct):
+    """The result of a load process.
+
+    `jobs` are the acknowledged jobs by identifier.  `unsubmitted` has the class and due time of the others,
+    `said` the number of each of the server's answers to them."""
 
     jobs: dict[str, SentJob] = {}
     unsubmitted: list[tuple[str, int]] = []
     said: dict[str, int] = {}
 
 
-def fill_times(fill_s: float, life_s: float) -> float:
-    """By how much more often jobs have to come during the filling, so that as many run after it as later."""
+def compute_fill_factor(fill_s: float, life_s: float) -> float:
+    """Return the factor of the rate during the fill after which as many jobs run as in the steady state."""
     return 1.0 / -math.expm1(-fill_s / life_s)
 
 
 class Generator:
-    """Submits until told to stop."""
+    """Submits jobs until it is stopped."""
 
     def __init__(self, loop: Loop, plan: LoadPlan) -> None:
         self._loop, self._plan = loop, plan
-        self._chance = random.Random(plan.seed)
-        self._began_ns = time.monotonic_ns()
+        self._rng = random.Random(plan.seed)
+        self._started_ns = time.monotonic_ns()
         self._pending = 0
         self._stopped = False
         self._shares = [each.share for each in plan.classes]
-        self.sent = Sent()
+        self.result = LoadResult()
 
     def start(self) -> None:
-        self._schedule(self._began_ns)
+        self._schedule(self._started_ns)
 
     def stop(self) -> None:
-        """Submit nothing more; the loop ends when the last submission is answered, or soon after."""
+        """Stop submitting; the loop ends once all submissions are answered, or after `STOP_TIMEOUT_S`."""
         if self._stopped:
             return
         self._stopped = True
-        self._loop.call_later(SETTLE_S * S, self._loop.stop)
-        self._end_if_settled()
+        self._loop.call_later(STOP_TIMEOUT_S * S, self._loop.stop)
+        self._stop_if_idle()
 
-    def _end_if_settled(self) -> None:
+    def _stop_if_idle(self) -> None:
         if self._stopped and not self._pending:
             self._loop.stop()
 
-    def _schedule(self, before_ns: int) -> None:
-        """The next moment follows from the planned one before, however late that one came."""
-        filling = before_ns - self._began_ns < self._plan.fill_s * S
-        rate = self._plan.rate * (self._plan.fill_times if filling else 1.0)
-        due_ns = before_ns + round(S / rate * self._chance.expovariate(1.0))
+    def _schedule(self, previous_due_ns: int) -> None:
+        """Schedule the next submission relative to the previous due time: delays must not lower the rate."""
+        is_filling = previous_due_ns - self._started_ns < self._plan.fill_s * S
+        rate = self._plan.rate * (self._plan.fill_times if is_filling else 1.0)
+        due_ns = previous_due_ns + round(S / rate * self._rng.expovariate(1.0))
         self._loop.call_later(max(0, due_ns - time.monotonic_ns()), self._submit, due_ns)
 
     def _submit(self, due_ns: int) -> None:
         if self._stopped:
             return
         self._schedule(due_ns)
-        plan, chance = self._plan, self._chance
-        klass = chance.choices(plan.classes, self._shares)[0]
-        service = f"{klass.name}-{chance.randrange(klass.services)}"
-        life_s = max(plan.life_least_s, chance.expovariate(1.0 / plan.life_s))
-        cores, team = chance.choice(klass.cores), chance.choice(plan.teams)
+        plan, rng = self._plan, self._rng
+        klass = rng.choices(plan.classes, self._shares)[0]
+        service = f"{klass.name}-{rng.randrange(klass.services)}"
+        life_s = max(plan.life_least_s, rng.expovariate(1.0 / plan.life_s))
+        cores, team = rng.choice(klass.cores), rng.choice(plan.teams)
         attrs = attributes("job", service, cores, klass.memory_gib, life_s, team)
-        target = chance.choice(plan.targets)
+        target = rng.choice(plan.targets)
         self._pending += 1
 
-        def done(job: str, said: str) -> None:
+        def on_answered(job: str, answer: str) -> None:
             self._pending -= 1
             if job:
-                self.sent.jobs[job] = SentJob(klass.name, due_ns, time.monotonic_ns())
+                self.result.jobs[job] = SentJob(klass.name, due_ns, time.monotonic_ns())
             else:
-                self.sent.unsubmitted.append((klass.name, due_ns))
-                self.sent.said[said] = self.sent.said.get(said, 0) + 1
-            self._end_if_settled()
+                self.result.unsubmitted.append((klass.name, due_ns))
+                self.result.said[answer] = self.result.said.get(answer, 0) + 1
+            self._stop_if_idle()
 
-        Submission(self._loop, target, klass.name, attrs, SCRIPT, done)
+        Submission(self._loop, target, klass.name, attrs, SCRIPT, on_answered)
 
 
 def main() -> None:
     plan: LoadPlan = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=LoadPlan)
-    loop = Loop(trouble=lambda where, fault: print(f"{where}: {fault!r}", file=sys.stderr, flush=True))
+    loop = Loop(trouble=lambda where, error: print(f"{where}: {error!r}", file=sys.stderr, flush=True))
     generator = Generator(loop, plan)
     loop.on_signal(signal.SIGTERM, generator.stop)
     loop.on_signal(signal.SIGINT, generator.stop)
 
-    def input_ended(_: int) -> None:
+    def on_input(_: int) -> None:
         if not os.read(sys.stdin.fileno(), 4096):
-            loop.watch(sys.stdin.fileno(), 0, input_ended)
+            loop.watch(sys.stdin.fileno(), 0, on_input)
             generator.stop()
 
-    loop.watch(sys.stdin.fileno(), READ, input_ended)
+    loop.watch(sys.stdin.fileno(), READ, on_input)
     generator.start()
     loop.run()
-    Path(sys.argv[2]).write_bytes(msgspec.json.encode(generator.sent))
+    Path(sys.argv[2]).write_bytes(msgspec.json.encode(generator.result))
 
 
 if __name__ == "__main__":
--- a/ladderhub/lab/scale/measure.py
+++ b/ladderhub/lab/scale/measure.py
@@ -1,4 +1,4 @@
-"""Reads processes: what the system tells of them, and what they count themselves."""
+"""Reads processes: resource usage from the operating system, and the counters that they publish."""
 
 from __future__ import annotations
 
@@ -16,58 +16,62 @@
 from ladderhub.lab.load import cpu_s
 from ladderhub.usage import traffic as usage
 
-PAGE_S = 10.0
-FILE_LOOK_S = 0.01
+PAGE_TIMEOUT_S = 10.0
+FILE_POLL_S = 0.01
 NS = 1_000_000_000
-PROCESSOR, BYTES, MESSAGES = "ladderhub_processor_seconds", "ladderhub_bytes", "ladderhub_messages"
+PROCESSOR, BYTES, MESSAGES = (
+    "ladderhub_processor_seconds",
+    "ladderhub_bytes",
+    "ladderhub_messages",
+)
 IN, OUT = "in", "out"
-ALL_CAUSES = "whole"  # the cause where time is not told apart
+ALL_CAUSES = "whole"  # cause of the processor time of processes that do not divide it by cause
 
 
 class Traffic(msgspec.Struct):
-    """An amount in each direction; None where nobody counted it."""
+    """An amount in each direction; None if it was not counted."""
 
     in_: float | None = msgspec.field(default=None, name="in")
     out: float | None = None
 
-    def divided(self, share: int) -> Traffic:
-        """The part of one of so many."""
+    def divide(self, share: int) -> Traffic:
+        """Return the amount per member of `share` members."""
         return Traffic(
             None if self.in_ is None else self.in_ / share, None if self.out is None else self.out / share
         )
 
 
 class Counters(msgspec.Struct):
-    """What a process counted since its start: seconds by cause, bytes and messages by kind, work in steps."""
+    """Counters of a process since its start: seconds by cause, bytes and messages by kind, steps of work."""
 
     processor_s: dict[str, float] = {}
     bytes: dict[str, Traffic] = {}
     messages: dict[str, Traffic] = {}
     work: dict[str, float] = {}
 
-    def divided(self, share: int) -> Counters:
-        """The part of one of so many members of the process."""
+    def divide(self, share: int) -> Counters:
+        """Return the counters per member of a process that hosts `share` members, without `work`."""
         return Counters(
-            {cause: spent / share for cause, spent in self.processor_s.items()},
-            {kind: amount.divided(share) for kind, amount in self.bytes.items()},
-            {kind: amount.divided(share) for kind, amount in self.messages.items()},
+            {cause: seconds / share for cause, seconds in self.processor_s.items()},
+            {kind: amount.divide(share) for kind, amount in self.bytes.items()},
+            {kind: amount.divide(share) for kind, amount in self.messages.items()},
         )
 
 
 class Reading(msgspec.Struct):
-    """One process at one moment."""
+    """Resource usage and counters of one process at one moment."""
 
     at_s: float
     processor_s: float
-    waited_s: float  # in which it could have run and no processor was free
+    waited_s: float  # time in which it was ready to run and no processor was free
     memory_bytes: int
     descriptors: int
     counted: Counters | None = None
-    connections: float | None = None  # of clients, where the process has a door for them
+    connections: float | None = None  # of clients, if the process accepts any
 
 
-def memory_bytes(pid: int) -> int:
-    """Resident memory of a process, 0 where it has ended."""
+def read_memory_bytes(pid: int) -> int:
+    """Return the resident memory of a process, 0 if it has ended."""
     try:
         lines = Path(f"/proc/{pid}/status").read_text().splitlines()
     except (FileNotFoundError, ProcessLookupError):
@@ -78,25 +82,31 @@
     return 0
 
 
-def waited_s(pid: int) -> float:
-    """How long a process was ready to run and waited for a processor."""
+def read_waited_s(pid: int) -> float:
+    """Return how long a process was ready to run and waited for a processor."""
     return int(Path(f"/proc/{pid}/schedstat").read_text().split()[1]) / NS
 
 
-def descriptors(pid: int) -> int:
-    """Open descriptors of a process."""
+def count_descriptors(pid: int) -> int:
+    """Return the number of open descriptors of a process."""
     return len(os.listdir(f"/proc/{pid}/fd"))
 
 
 def read_process(pid: int, counted: Counters | None = None, connections: float | None = None) -> Reading:
-    """A process as the system tells it, beside what it counted itself."""
+    """Read the resource usage of a process and combine it with the given counters."""
     return Reading(
-        time.monotonic(), cpu_s(pid), waited_s(pid), memory_bytes(pid), descriptors(pid), counted, connections
+        time.monotonic(),
+        cpu_s(pid),
+        read_waited_s(pid),
+        read_memory_bytes(pid),
+        count_descriptors(pid),
+        counted,
+        connections,
     )
 
 
 def read_scheduler(pid: int, http: tuple[str, int]) -> Reading:
-    """A `serve` process with what its metrics page tells."""
+    """Read a `serve` process and its metrics page."""
     page = fetch_page(http, "/metrics")
     if page is None:
         return read_process(pid)
@@ -104,17 +114,17 @@
 
 
 def fetch_page(address: tuple[str, int], path: str) -> str | None:
-    """A page of a process; None where it does not answer well."""
+    """Fetch an HTTP page of a process; None if the request fails."""
     host, port = address
     try:
-        with urllib.request.urlopen(f"http://{host}:{port}{path}", timeout=PAGE_S) as page:
+        with urllib.request.urlopen(f"http://{host}:{port}{path}", timeout=PAGE_TIMEOUT_S) as page:
             return bytes(page.read()).decode()
     except (OSError, urllib.error.URLError):
         return None
 
 
-def counted_by(processor_s: float, traffic: usage.Traffic) -> Counters:
-    """What a process of the laboratory counted; its processor time has no causes."""
+def collect_counters(processor_s: float, traffic: usage.Traffic) -> Counters:
+    """Return the counters of a laboratory process, whose processor time is not divided by cause."""
     counted = Counters({ALL_CAUSES: processor_s})
     for kind, count in traffic.kinds.items():
         counted.bytes[kind] = Traffic(count.bytes_in, count.bytes_out)
@@ -123,7 +133,7 @@
 
 
 def parse_counters(page: str) -> Counters | None:
-    """The counters on a metrics page; None where it has none of them."""
+    """Parse the counters on a metrics page; None if it has none of them."""
     counted = Counters()
     for family in text_string_to_metric_families(page):
         for sample in family.samples:
@@ -142,8 +152,8 @@
     return counted if found else None
 
 
-def counted_by_directory(file: Path) -> Counters:
-    """The statistics file of a directory."""
+def read_directory_counters(file: Path) -> Counters:
+    """Read the counters from the statistics file of a directory."""
     stats: DirectoryStats = msgspec.json.decode(file.read_bytes(), type=DirectoryStats)
     counted = Counters({ALL_CAUSES: stats.processor_seconds})
     for kind, row in stats.traffic.items():
@@ -154,20 +164,20 @@
     return counted
 
 
-def written_anew(file: Path, ask: Callable[[], None]) -> bool:
-    """Ask for a statistics file; whether it came in time."""
+def request_file(file: Path, request: Callable[[], None]) -> bool:
+    """Request a new statistics file and return whether it was written in time."""
     file.unlink(missing_ok=True)
-    ask()
-    until = time.monotonic() + PAGE_S
+    request()
+    deadline = time.monotonic() + PAGE_TIMEOUT_S
     while not file.exists():
-        if time.monotonic() > until:
+        if time.monotonic() > deadline:
             return False
-        time.sleep(FILE_LOOK_S)
+        time.sleep(FILE_POLL_S)
     return True
 
 
 def parse_gauge(page: str, name: str) -> float | None:
-    """A single value on a metrics page."""
+    """Parse a gauge without labels on a metrics page; None if it is missing."""
     for line in page.splitlines():
         if line.startswith(f"{name} "):
             return float(line.split()[1])
--- a/ladderhub/lab/scale/plan.jsonnet
+++ b/ladderhub/lab/scale/plan.jsonnet
@@ -1,18 +1,18 @@
-// The size that the program has to bear, how it is played on one machine, and what it may cost.
+// The full size, how it is simulated on one machine, and the budgets of its figures.
 {
   size: {
     nodes: 1100,
     starts_per_s: 350,
     running: 3700,
     teams: 230,
-    schedulers: 237,  // real and hollow ones together
+    schedulers: 237,  // real and hollow ones
     changes_per_h: 40,  // 960 a day
   },
   real_schedulers: 7,
   seed: 1,
 
-  // A day's troubles of nodes, and how much faster than a day they are played.  Changes of configuration are
-  // sped up by the same factor.
+  // Failures, replacements and restarts of nodes per day, and the factor by which a run accelerates them.
+  // Configuration changes are accelerated by the same factor.
   churn: {
     failed_per_day: 12,
     replaced_per_day: 48,
@@ -26,32 +26,32 @@
   },
 
   playing: {
-    fill_s: 15,  // in which the tasks that run come up
+    fill_s: 15,  // initial phase in which the number of running tasks reaches its target
     measure_s: 20,
     full_measure_s: 60,
-    settle_s: 7,  // more than the longest deadline
+    settle_s: 7,  // longer than the longest deadline
     register_s: 60,
     ready_s: 60,
-    join_s: 14,  // for schedulers to find each other and to take their leases
+    join_s: 14,  // time for the schedulers to discover each other and to acquire their leases
     node_processes: 6,
     hollow_processes: 4,
     load_processes: 2,
     memory_gib_most: 12,
     processes_most: 200,
-    run_s_most: 400,  // of one run, from its first process on
-    waited_most: 0.1,  // share of the time; above it a run's times tell of a machine that others use
+    run_s_most: 400,  // duration of one run, counted from its first process
+    waited_most: 0.1,  // share of the time; above it a run's times are distorted by other load on the machine
   },
 
   slopes: {
     shares: [1 / 8, 1 / 4, 1 / 2],
     held_at: 1 / 4,
-    changes_speedup: 100,  // so that some changes fall into each short run
-    residual_most: 0.05,  // of the range; above it a line is not straight
-    flat: 0.1,  // a figure whose range is a smaller part of its size does not depend on the dimension
-    error_most: 0.25,  // a prediction that is further off is listed
+    changes_speedup: 100,  // so that each short run has some changes
+    residual_most: 0.05,  // share of the range; above it the points are not on a line
+    flat: 0.1,  // a figure whose range is at most this share of its value does not depend on the dimension
+    error_most: 0.25,  // predictions with a larger relative error are listed
   },
 
-  // What is asked for: the classes of jobs by their queue, and the emulated work.
+  // The classes of jobs by their queue, and the emulated work.
   load: {
     classes: {
       urgent: { share: 0.05, services: 40, cores: [0.25, 0.5], memory_gib: 0.5 },
@@ -63,7 +63,7 @@
     cold_times: 6,
   },
 
-  // Of the schedulers' settings, what does not follow from the size.
+  // The settings of the schedulers that do not depend on the size.
   settings: {
     queues: {
       urgent: { effect: 'safe', aim: '400ms', deadline: '5s', limit: '20s', priority: 3, worth: 5 },
@@ -85,11 +85,11 @@
     stop_within: '5s',
     log: { format: 'json', level: 'info' },
   },
-  quota: { rate_times: 2, cores_times: 2 },  // of a team's even part of the starts and of the cores
+  quota: { rate_times: 2, cores_times: 2 },  // multiples of an equal share of the starts and of the cores
   peers: { period: '1s', lease: '8s', electors: 5, seeds: 3 },
 
-  // Our reading of what counts as control: processor time by these causes, and all bytes but those of the job
-  // path: of clients, and of nodes.
+  // Control work is the processor time of these causes, and all bytes except those of the job path (clients
+  // and nodes).
   control: {
     causes: ['lists', 'peers', 'configuration'],
     job_kinds: ['client', 'node'],
--- a/ladderhub/lab/scale/plan.py
+++ b/ladderhub/lab/scale/plan.py
@@ -1,4 +1,4 @@
-"""The plan of a scale run as data: its file, its types, and the options that override it."""
+"""Plan of a scale run: its types, loading and validation of its file, and command-line overrides."""
 
 from __future__ import annotations
 
@@ -15,21 +15,23 @@
 
 
 class PlanError(LadderhubError):
-    """The plan of a scale run can't be used."""
+    """The plan of a scale run is invalid."""
 
     status, code = 2, BAD_VALUE
     remedy = "mend that field of the plan; `ladderhub/lab/scale/plan.jsonnet` is a plan that can be used"
 
 
 class ScaleError(LadderhubError):
-    """A scale run could not be played to its end: its figures say nothing."""
+    """A scale run could not be completed, so its figures are invalid."""
 
     status, code = 1, SYSTEM
     remedy = "look at the logs under the run's folder, or play a smaller size with fewer processes beside it"
 
 
 class Size(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The dimensions of one run.  `schedulers`: real and hollow ones; `changes_per_h`: as they are played."""
+    """The dimensions of one run.
+
+    `schedulers` counts real and hollow ones.  `changes_per_h` of a run is the accelerated rate."""
 
     nodes: int
     starts_per_s: float
@@ -38,12 +40,12 @@
     schedulers: int
     changes_per_h: float
 
-    def value(self, dimension: str) -> float:
+    def get_value(self, dimension: str) -> float:
         return float(getattr(self, dimension))
 
 
 class Churn(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Troubles of nodes a day, and by how much faster than a day they come."""
+    """Failures, replacements and restarts of nodes per day, and the factor by which they are accelerated."""
 
     failed_per_day: float
     replaced_per_day: float
@@ -56,8 +58,8 @@
     rack_back_s: float
 
 
-class Playing(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How a size is played, and within which bounds."""
+class RunSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """Durations, process counts and resource limits of a run."""
 
     fill_s: float
     measure_s: float
@@ -72,11 +74,11 @@
     memory_gib_most: float
     processes_most: int
     run_s_most: float
-    waited_most: float  # how long processes may wait for a processor before a run's times say nothing
+    waited_most: float  # share of the time spent waiting for a processor above which times are unreliable
 
 
 class SlopeRules(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Where slopes are taken, and when a line counts as straight."""
+    """The sizes at which slopes are measured, and the tolerances for linearity and prediction errors."""
 
     shares: list[float]
     held_at: float
@@ -87,7 +89,7 @@
 
 
 class JobClass(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Jobs of one queue: their share of all, and what they ask for."""
+    """Jobs of one queue: their share of all jobs, and the resources that they request."""
 
     share: float
     services: int
@@ -96,7 +98,7 @@
 
 
 class Load(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What is submitted, and how long emulated work takes to start."""
+    """The jobs that are submitted, and the start-up time of emulated work."""
 
     classes: dict[str, JobClass]
     life_least_s: float
@@ -105,14 +107,14 @@
 
 
 class Quota(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Each team's quotas, as multiples of its even part."""
+    """Each team's quotas, as multiples of an equal share among all teams."""
 
     rate_times: float
     cores_times: float
 
 
 class PeerRules(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Membership and leases among the schedulers."""
+    """Settings of membership and leases among the schedulers."""
 
     period: str
     lease: str
@@ -121,27 +123,27 @@
 
 
 class Control(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Which causes of processor time count as control, and which kinds of messages do not."""
+    """The causes of processor time that count as control work, and the message kinds that do not."""
 
     causes: list[str]
     job_kinds: list[str]
 
 
 class Budget(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The most that a figure may be."""
+    """The upper limit of a figure."""
 
     figure: str
     limit: float
 
 
 class Plan(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The whole file."""
+    """The contents of a plan file."""
 
     size: Size
     real_schedulers: int
     seed: int
     churn: Churn
-    playing: Playing
+    playing: RunSettings
     slopes: SlopeRules
     load: Load
     settings: dict[str, Any]
@@ -150,45 +152,45 @@
     control: Control
     budgets: list[Budget]
 
-    def played(self) -> Size:
-        """The whole size as it is played: changes of configuration come as much faster as troubles do."""
+    def compute_accelerated_size(self) -> Size:
+        """Return the full size with configuration changes accelerated by the same factor as node churn."""
         return msgspec.structs.replace(self.size, changes_per_h=self.size.changes_per_h * self.churn.speedup)
 
-    def troubles_per_s(self, per_day: float, nodes: int) -> float:
-        """How often a trouble comes among so many nodes, sped up."""
+    def compute_churn_rate(self, per_day: float, nodes: int) -> float:
+        """Return the accelerated rate of a churn event among `nodes` nodes."""
         return per_day / _DAY_S * self.churn.speedup * nodes / self.size.nodes
 
 
-def default_plan_file() -> Path:
-    """The plan that comes with the program."""
+def get_default_plan_path() -> Path:
+    """Return the path of the plan that is installed with the package."""
     return Path(str(resources.files("ladderhub.lab.scale") / "plan.jsonnet"))
 
 
 def load_plan(file: Path | None = None) -> Plan:
-    """Read and check a plan; `PlanError` where it can't be used."""
+    """Read and validate a plan.  Raises `PlanError` if it is invalid."""
     import _jsonnet
 
-    path = file or default_plan_file()
+    path = file or get_default_plan_path()
     try:
         text = _jsonnet.evaluate_file(str(path))
-    except RuntimeError as fault:
-        raise PlanError(str(fault).splitlines()[0], where=str(path)) from None
+    except RuntimeError as error:
+        raise PlanError(str(error).splitlines()[0], where=str(path)) from None
     try:
-        return checked(msgspec.json.decode(text, type=Plan), str(path))
-    except msgspec.ValidationError as fault:
-        raise PlanError(str(fault), where=str(path)) from None
+        return validate_plan(msgspec.json.decode(text, type=Plan), str(path))
+    except msgspec.ValidationError as error:
+        raise PlanError(str(error), where=str(path)) from None
 
 
-def checked(plan: Plan, source: str = "the plan") -> Plan:
-    """The plan itself; `PlanError` where its fields do not fit together."""
+def validate_plan(plan: Plan, source: str = "the plan") -> Plan:
+    """Return the plan.  Raises `PlanError` if its fields are inconsistent."""
     size = plan.size
     for name in DIMENSIONS:
-        if size.value(name) < 0:
+        if size.get_value(name) < 0:
             raise PlanError(
-                f"found {size.value(name):g}", where=f"{source}: size.{name}", expected="0 or more"
+                f"found {size.get_value(name):g}", where=f"{source}: size.{name}", expected="0 or more"
             )
     for name in ("nodes", "starts_per_s", "running", "teams"):
-        if size.value(name) <= 0:
+        if size.get_value(name) <= 0:
             raise PlanError("found 0", where=f"{source}: size.{name}", expected="more than 0")
     if not 1 <= plan.real_schedulers <= size.schedulers:
         found = f"found {plan.real_schedulers} of {size.schedulers}"
@@ -196,15 +198,19 @@
     total = sum(each.share for each in plan.load.classes.values())
     if abs(total - 1) > 1e-6:
         raise PlanError(
-            f"found a sum of {total:g}", where=f"{source}: load.classes", expected="shares that add to 1"
+            f"found a sum of {total:g}", where=f"{source}: load.classes", expected="shares with a sum of 1"
         )
     if set(plan.load.classes) - set(plan.settings.get("queues", {})):
         raise PlanError(
-            "found a class without a queue", where=f"{source}: load.classes", expected="a queue for each"
+            "a class has no queue in settings.queues",
+            where=f"{source}: load.classes",
+            expected="a queue for each class",
         )
     if len(plan.slopes.shares) < 3 or plan.slopes.held_at not in plan.slopes.shares:
         raise PlanError(
-            "found no line", where=f"{source}: slopes", expected="three shares, held_at one of them"
+            "no line can be fitted",
+            where=f"{source}: slopes",
+            expected="at least three shares that include held_at",
         )
     if plan.churn.speedup <= 0:
         raise PlanError("found 0", where=f"{source}: churn.speedup", expected="more than 0")
@@ -212,7 +218,7 @@
 
 
 class Overrides(msgspec.Struct, frozen=True):
-    """What the command's options say; None leaves what the plan says."""
+    """Values from the command line; None keeps the value of the plan."""
 
     schedulers: int | None = None
     hollow_schedulers: int | None = None
@@ -226,59 +232,61 @@
     speedup: float | None = None
 
 
-def overridden(plan: Plan, options: Overrides) -> Plan:
-    """The plan with the options in place of its own values; `PlanError` where they do not fit."""
+def apply_overrides(plan: Plan, overrides: Overrides) -> Plan:
+    """Return the plan with the given overrides.  Raises `PlanError` if the result is inconsistent."""
 
-    def either(given: Any, planned: Any) -> Any:
-        return planned if given is None else given
+    def choose(override: Any, planned: Any) -> Any:
+        return planned if override is None else override
 
-    hollow = either(options.hollow_schedulers, plan.size.schedulers - plan.real_schedulers)
-    real = either(options.schedulers, plan.real_schedulers)
+    hollow = choose(overrides.hollow_schedulers, plan.size.schedulers - plan.real_schedulers)
+    real = choose(overrides.schedulers, plan.real_schedulers)
     size = Size(
-        nodes=either(options.nodes, plan.size.nodes),
-        starts_per_s=either(options.starts, plan.size.starts_per_s),
-        running=either(options.running, plan.size.running),
-        teams=either(options.teams, plan.size.teams),
+        nodes=choose(overrides.nodes, plan.size.nodes),
+        starts_per_s=choose(overrides.starts, plan.size.starts_per_s),
+        running=choose(overrides.running, plan.size.running),
+        teams=choose(overrides.teams, plan.size.teams),
         schedulers=real + hollow,
-        changes_per_h=either(options.changes, plan.size.changes_per_h),
+        changes_per_h=choose(overrides.changes, plan.size.changes_per_h),
     )
     replace = msgspec.structs.replace
     playing = replace(
         plan.playing,
-        measure_s=either(options.seconds, plan.playing.measure_s),
-        full_measure_s=either(options.seconds, plan.playing.full_measure_s),
+        measure_s=choose(overrides.seconds, plan.playing.measure_s),
+        full_measure_s=choose(overrides.seconds, plan.playing.full_measure_s),
     )
     changed = replace(
-        plan, size=size, real_schedulers=real, seed=either(options.seed, plan.seed), playing=playing,
-        churn=replace(plan.churn, speedup=either(options.speedup, plan.churn.speedup)),
+        plan, size=size, real_schedulers=real, seed=choose(overrides.seed, plan.seed), playing=playing,
+        churn=replace(plan.churn, speedup=choose(overrides.speedup, plan.churn.speedup)),
     )  # fmt: skip
-    return checked(changed, "the plan with the options")
+    return validate_plan(changed, "the plan with the options")
 
 
-def slope_sizes(plan: Plan) -> dict[str, list[tuple[float, Size]]]:
-    """For each dimension the shares and sizes at which it is moved while all others are held."""
-    base = at_shares(plan, dict.fromkeys(DIMENSIONS, plan.slopes.held_at))
+def compute_slope_sizes(plan: Plan) -> dict[str, list[tuple[float, Size]]]:
+    """Return for each dimension the shares and sizes at which it varies while all others are held."""
+    base = scale_size(plan, dict.fromkeys(DIMENSIONS, plan.slopes.held_at))
     sizes: dict[str, list[tuple[float, Size]]] = {}
     for dimension in DIMENSIONS:
-        if plan.size.value(dimension) == 0:
+        if plan.size.get_value(dimension) == 0:
             continue
         moved = dict.fromkeys(DIMENSIONS, plan.slopes.held_at)
         points = []
         for share in plan.slopes.shares:
-            size = base if share == plan.slopes.held_at else at_shares(plan, moved | {dimension: share})
+            size = base if share == plan.slopes.held_at else scale_size(plan, moved | {dimension: share})
             points.append((share, size))
         sizes[dimension] = points
     return sizes
 
 
-def at_shares(plan: Plan, shares: dict[str, float]) -> Size:
-    """The size of a slope's run, each dimension at its share; no fewer schedulers than the real ones."""
-    whole = plan.size
+def scale_size(plan: Plan, shares: dict[str, float]) -> Size:
+    """Return the size of a slope run, each dimension scaled by its share.
+
+    It has at least as many schedulers as there are real ones."""
+    full_size = plan.size
     return Size(
-        nodes=max(1, round(whole.nodes * shares["nodes"])),
-        starts_per_s=whole.starts_per_s * shares["starts_per_s"],
-        running=max(1, round(whole.running * shares["running"])),
-        teams=max(1, round(whole.teams * shares["teams"])),
-        schedulers=max(plan.real_schedulers, round(whole.schedulers * shares["schedulers"])),
-        changes_per_h=whole.changes_per_h * shares["changes_per_h"] * plan.slopes.changes_speedup,
+        nodes=max(1, round(full_size.nodes * shares["nodes"])),
+        starts_per_s=full_size.starts_per_s * shares["starts_per_s"],
+        running=max(1, round(full_size.running * shares["running"])),
+        teams=max(1, round(full_size.teams * shares["teams"])),
+        schedulers=max(plan.real_schedulers, round(full_size.schedulers * shares["schedulers"])),
+        changes_per_h=full_size.changes_per_h * shares["changes_per_h"] * plan.slopes.changes_speedup,
     )
--- a/ladderhub/lab/scale/report.py
+++ b/ladderhub/lab/scale/report.py
@@ -1,4 +1,4 @@
-"""What a scale run tells: its types, and their figures by name."""
+"""The report of a scale run: its types, and access to all figures by name."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Machine(msgspec.Struct):
-    """Where the run was played."""
+    """The machine on which the run was executed."""
 
     cores: int
     memory_gib: float
@@ -27,7 +27,7 @@
 
 
 class ControlFigures(msgspec.Struct):
-    """What a role spends on control, by the plan's reading of it; None where it was not measured."""
+    """The cost of a role's control work as the plan defines it; None if it was not measured."""
 
     cores: float | None = None
     bytes_per_s: float | None = None
@@ -37,8 +37,9 @@
     """The mean over the members of one role, and in `most` each figure's largest value among them.
 
     A role that is a part of a process has no memory and no processor time of its own.  `hosted` members share
-    processes, whose figures are divided by their number.  `waited`: the share of the time in which a process
-    was ready and no processor was free; where it is large, times tell of the machine."""
+    processes, whose figures are divided by their number.  `waited` is the share of the time in which
+    a process was ready to run and no processor was free; if it is large, times depend on the load of the
+    machine."""
 
     count: int
     memory_mb: float | None
@@ -56,7 +57,7 @@
 
 
 class ClassFigures(msgspec.Struct):
-    """Jobs of one class that were due in the measured span.  `missed_share`: those of them that never ran."""
+    """Jobs of one class that were due in the measured span.  `missed_share` is the share that never ran."""
 
     count: int
     p50_ms: float | None
@@ -69,8 +70,9 @@
 
 
 class ChangeFigures(msgspec.Struct):
-    """How long changes took until they were in force everywhere; None where there were none.  `missed_share`:
-    those that were asked for and were not in force everywhere before the run's end."""
+    """The time until configuration changes were active on all schedulers; None if there were no changes.
+
+    `missed_share` is the share of requested changes that were not active everywhere when the run ended."""
 
     count: int = 0
     p50: float | None = None
@@ -80,7 +82,7 @@
 
 
 class RunFigures(msgspec.Struct):
-    """One run.  `processes` and `memory_gib`: the most that it took at a time."""
+    """The figures of one run.  `processes` and `memory_gib` are its peak usage."""
 
     name: str
     dimensions: Size
@@ -97,14 +99,14 @@
 
 
 class Prediction(msgspec.Struct):
-    """What the slopes say of the whole plan, written before it is played."""
+    """The figures that the slopes predict at full size, written before the full-size run."""
 
     written_at: str = ""
     figures: dict[str, float] = {}
 
 
 class Report(msgspec.Struct):
-    """All of it, as `--json` writes it."""
+    """The whole report, as `--json` writes it."""
 
     seed: int
     commit: str
@@ -117,24 +119,24 @@
     budgets: list[BudgetVerdict] = []
 
 
-def this_machine() -> Machine:
-    """The machine and interpreter that this process runs on."""
+def describe_machine() -> Machine:
+    """Return the machine and interpreter that this process runs on."""
     memory = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES") / _GIB
     return Machine(os.cpu_count() or 1, round(memory, 1), platform.python_version())
 
 
-def this_commit() -> str:
-    """The commit of the checkout that the program runs from; empty where it was installed without one."""
+def get_commit() -> str:
+    """Return the commit of the checkout that the program runs from; empty if it is not run from one."""
     argv = ["git", "-C", str(Path(__file__).parent), "describe", "--always", "--dirty"]
     try:
-        done = subprocess.run(argv, capture_output=True, text=True, check=False)
+        completed = subprocess.run(argv, capture_output=True, text=True, check=False)
     except FileNotFoundError:
         return ""
-    return done.stdout.strip()
+    return completed.stdout.strip()
 
 
-def role_figures(role: RoleFigures) -> Iterator[tuple[str, float]]:
-    """A role's figures by their names within it."""
+def iterate_role_figures(role: RoleFigures) -> Iterator[tuple[str, float]]:
+    """Yield the figures of a role with their names within it."""
     if role.memory_mb is not None:
         yield "memory_mb", role.memory_mb
     if role.memory_growth_mb_per_s is not None:
@@ -160,40 +162,41 @@
         yield f"most.{name}", value
 
 
-def _figures_of_all(role: RoleFigures) -> Iterator[tuple[str, float]]:
-    """Sums over the members of a hosted role: one member's part of its process falls with their number, and
-    is no line along any dimension."""
-    for name, value in role_figures(role):
+def _iterate_host_totals(role: RoleFigures) -> Iterator[tuple[str, float]]:
+    """Yield the sums over the members of a hosted role.
+
+    The figures per member fall with the number of members, so they are not linear in any dimension."""
+    for name, value in iterate_role_figures(role):
         if not name.startswith("most."):
             yield name, value * role.count
 
 
 def collect_figures(run: RunFigures) -> dict[str, float]:
-    """Every measured figure of a run by its name, as `scheduler.cores.lists`."""
+    """Return every measured figure of a run by its name, for example `scheduler.cores.lists`."""
     figures: dict[str, float] = {"running": run.running}
     for role, measured in run.roles.items():
         if measured.hosted:
-            figures |= {f"{role}.all.{name}": value for name, value in _figures_of_all(measured)}
+            figures |= {f"{role}.all.{name}": value for name, value in _iterate_host_totals(measured)}
         else:
-            figures |= {f"{role}.{name}": value for name, value in role_figures(measured)}
+            figures |= {f"{role}.{name}": value for name, value in iterate_role_figures(measured)}
     for name, started in run.starts.items():
-        told = {"p50_ms": started.p50_ms, "p99_ms": started.p99_ms, "missed_share": started.missed_share}
-        figures |= {f"starts.{name}.{figure}": value for figure, value in told.items() if value is not None}
+        values = {"p50_ms": started.p50_ms, "p99_ms": started.p99_ms, "missed_share": started.missed_share}
+        figures |= {f"starts.{name}.{figure}": value for figure, value in values.items() if value is not None}
     change = run.change_in_force_s
-    told = {"p50": change.p50, "p99": change.p99, "most": change.most, "missed_share": change.missed_share}
-    figures |= {f"change_in_force_s.{name}": value for name, value in told.items() if value is not None}
+    values = {"p50": change.p50, "p99": change.p99, "most": change.most, "missed_share": change.missed_share}
+    figures |= {f"change_in_force_s.{name}": value for name, value in values.items() if value is not None}
     return figures
 
 
-def write_lasting(path: Path, value: object) -> None:
-    """Write JSON so that it is on disk, whole, when this returns."""
+def write_durably(path: Path, value: object) -> None:
+    """Write JSON atomically and sync it to disk."""
     path.parent.mkdir(parents=True, exist_ok=True)
-    fresh = path.with_suffix(path.suffix + ".new")
-    with open(fresh, "wb") as file:
+    temporary = path.with_suffix(path.suffix + ".new")
+    with open(temporary, "wb") as file:
         file.write(msgspec.json.format(msgspec.json.encode(value)))
         file.flush()
         os.fsync(file.fileno())
-    os.replace(fresh, path)
+    os.replace(temporary, path)
     folder = os.open(path.parent, os.O_RDONLY)
     try:
         os.fsync(folder)
--- a/ladderhub/lab/scale/slopes.py
+++ b/ladderhub/lab/scale/slopes.py
@@ -1,4 +1,4 @@
-"""Lines through measured points, what they predict, and how far a prediction was off.  Arithmetic alone."""
+"""Fits lines to measured points, predicts figures from them, and computes the errors of predictions."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """The least-squares line through some points; `residual` is the root of the mean squared distance."""
+    """A least-squares line; `residual` is the root of the mean squared distance from the points."""
 
     per_unit: float
     intercept: float
     residual: float
 
-    def at(self, x: float) -> float:
+    def evaluate(self, x: float) -> float:
         return self.intercept + self.per_unit * x
 
 
 class Slope(msgspec.Struct):
-    """How one figure grows with one dimension while all others are held."""
+    """The growth of one figure with one dimension while all others are held."""
 
     figure: str
     dimension: str
@@ -35,7 +35,7 @@
 
 
 class PredictionError(msgspec.Struct):
-    """A predicted figure beside the measured one; `error`: their difference as a share of the latter."""
+    """A predicted and a measured figure; `error` is their difference relative to the measured one."""
 
     figure: str
     predicted: float
@@ -43,67 +43,71 @@
     error: float | None
 
 
-def fit(points: Sequence[Point]) -> Line:
-    """The least-squares line; level where all points have the same x.  ValueError where there is no point."""
+def fit_line(points: Sequence[Point]) -> Line:
+    """Return the least-squares line; its slope is 0 if all points have the same x.
+
+    Raises ValueError if there are no points."""
     if not points:
-        raise ValueError("points: at least one is meant")
+        raise ValueError("no points to fit a line to")
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
-    spread = sum((x - mean_x) ** 2 for x, _ in points)
-    shared = sum((x - mean_x) * (y - mean_y) for x, y in points)
-    per_unit = shared / spread if spread else 0.0
+    variance_sum = sum((x - mean_x) ** 2 for x, _ in points)
+    covariance_sum = sum((x - mean_x) * (y - mean_y) for x, y in points)
+    per_unit = covariance_sum / variance_sum if variance_sum else 0.0
     intercept = mean_y - per_unit * mean_x
     squares = sum((y - intercept - per_unit * x) ** 2 for x, y in points)
     return Line(per_unit, intercept, (squares / count) ** 0.5)
 
 
 def is_straight(points: Sequence[Point], line: Line, residual_most: float, flat: float) -> bool:
-    """Whether a line tells what the points do.
+    """Return whether the points lie on the line within the given tolerances.
 
-    A figure whose range is a small part of its size (`flat`) does not depend on the dimension; for others the
-    residual may be `residual_most` of the range."""
+    A figure whose range is at most `flat` times its largest absolute value does not depend on the dimension.
+    For others the residual may be at most `residual_most` times the range."""
     values = [y for _, y in points]
-    reach = max(values) - min(values)
-    if reach <= flat * max(abs(value) for value in values):
+    value_range = max(values) - min(values)
+    if value_range <= flat * max(abs(value) for value in values):
         return True
-    return line.residual <= residual_most * reach
+    return line.residual <= residual_most * value_range
 
 
-def slope(figure: str, dimension: str, points: Sequence[Point], residual_most: float, flat: float) -> Slope:
-    """The line of one figure along one dimension."""
-    line = fit(points)
+def fit_slope(
+    figure: str, dimension: str, points: Sequence[Point], residual_most: float, flat: float
+) -> Slope:
+    """Fit the line of one figure along one dimension."""
+    line = fit_line(points)
     straight = is_straight(points, line, residual_most, flat)
     return Slope(figure, dimension, line.per_unit, line.intercept, line.residual, list(points), straight)
 
 
 def predict(
-    slopes: Sequence[Slope], base: Mapping[str, float], whole: Mapping[str, float]
+    slopes: Sequence[Slope], base: Mapping[str, float], full_size: Mapping[str, float]
 ) -> dict[str, float]:
-    """Each figure at `whole`: its fitted value at `base`, and what each dimension adds on the way from there.
+    """Predict each figure at `full_size`: its fitted value at `base` plus the growth along each dimension.
 
-    No figure of a run can be below 0, so no prediction is."""
+    Figures of a run are never negative, so a negative prediction becomes 0."""
     by_figure: dict[str, list[Slope]] = {}
     for each in slopes:
         by_figure.setdefault(each.figure, []).append(each)
     predicted: dict[str, float] = {}
     for figure, lines in by_figure.items():
         at_base = sum(line.intercept + line.per_unit * base[line.dimension] for line in lines) / len(lines)
-        added = sum(line.per_unit * (whole[line.dimension] - base[line.dimension]) for line in lines)
+        added = sum(line.per_unit * (full_size[line.dimension] - base[line.dimension]) for line in lines)
         predicted[figure] = max(0.0, at_base + added)
     return predicted
 
 
-def compare(predicted: Mapping[str, float], measured: Mapping[str, float]) -> list[PredictionError]:
-    """Every figure that was both predicted and measured."""
+def compare_figures(predicted: Mapping[str, float], measured: Mapping[str, float]) -> list[PredictionError]:
+    """Return the error of every figure that was both predicted and measured."""
     errors = []
     for figure in sorted(set(predicted) & set(measured)):
-        said, found = predicted[figure], measured[figure]
-        error = (said - found) / abs(found) if found else (0.0 if said == found else None)
-        errors.append(PredictionError(figure, said, found, error))
+        expected, actual = predicted[figure], measured[figure]
+        error = (expected - actual) / abs(actual) if actual else (0.0 if expected == actual else None)
+        errors.append(PredictionError(figure, expected, actual, error))
     return errors
 
 
-def beyond(errors: Sequence[PredictionError], most: float) -> list[PredictionError]:
-    """Those whose prediction was further off than allowed."""
-    return [each for each in errors if each.error is None or abs(each.error) > most]
+def select_large_errors(errors: Sequence[PredictionError], limit: float) -> list[PredictionError]:
+    """Return the errors above the limit; an undefined error counts as above it."""
+    return [each for each in errors if each.error is None or abs(each.error) > limit]
--- a/tests/lab/test_hollow_schedulers.py
+++ b/tests/lab/test_hollow_schedulers.py
@@ -1,4 +1,4 @@
-"""Hollow schedulers: a real one hears from them what it would hear from real ones, and they end in order."""
+"""Hollow schedulers exchange the same traffic with a real scheduler as real ones do, and exit cleanly."""
 
 from __future__ import annotations
 
@@ -26,8 +26,10 @@
 
 S = 1_000_000_000
 STEP_NS = 50_000_000
-TURNS_PER_STEP = 4  # a probe, its answer, and what follows from that
-FIRST_LIFE = 1 << 61  # above any clock, so that lives and with them the rings are the same in each run
+TURNS_PER_STEP = 4  # enough for a probe, its answer, and the reactions to it
+FIRST_LIFE = (
+    1 << 61
+)  # larger than any clock value, so that lives and the rings derived from them are reproducible
 VOTERS, REAL = 3, 4
 SETTLE_S, MEASURED_S = 40, 60
 REGULAR = ("ping", "ack", "lease_request", "lease_grant", "ask_head", "head_is")
@@ -37,9 +39,10 @@
 )
 
 
-class Bed:
-    """Four real schedulers, and as many more as asked for, real or hollow, on datagram sockets of loopback in
-    one process whose clock is moved by hand."""
+class SchedulerFleet:
+    """Four real schedulers and `count` more, real or hollow, in one process with a manual clock.
+
+    They use datagram sockets on loopback."""
 
     def __init__(self, folder: Path, count: int, hollow: bool) -> None:
         self.clock = ManualClock(S)
@@ -100,14 +103,14 @@
         assert not any(daemon.metrics.troubles for daemon in self.daemons)
 
 
-def heard(bed: Bed, at: int) -> dict[str, TrafficRow]:
-    """What one of the real schedulers exchanges with its peers while the fleet is settled."""
-    traffic = bed.daemons[at].context.traffic
+def read_traffic(fleet: SchedulerFleet, at: int) -> dict[str, TrafficRow]:
+    """Return the traffic of one of the real schedulers with its peers, by kind."""
+    traffic = fleet.daemons[at].context.traffic
     return {kind: row for kind, row in traffic.to_rows().items() if kind not in CONNECTIONS}
 
 
-def amounts(rows: dict[str, TrafficRow], kinds: set[str]) -> dict[str, int]:
-    """The sums over these kinds."""
+def sum_traffic(rows: dict[str, TrafficRow], kinds: set[str]) -> dict[str, int]:
+    """Return the sums over the given kinds."""
     known = [rows[kind] for kind in kinds if kind in rows]
     return {
         "bytes_in": sum(row["bytes_in"] for row in known),
@@ -117,39 +120,41 @@
     }
 
 
-def passed(before: dict[str, TrafficRow], after: dict[str, TrafficRow], kinds: set[str]) -> dict[str, int]:
-    """The sums over these kinds of what was exchanged between two readings."""
-    old = amounts(before, kinds)
-    return {name: amount - old[name] for name, amount in amounts(after, kinds).items()}
+def subtract_traffic(
+    before: dict[str, TrafficRow], after: dict[str, TrafficRow], kinds: set[str]
+) -> dict[str, int]:
+    """Return the sums over the given kinds of the traffic between two readings."""
+    old = sum_traffic(before, kinds)
+    return {name: amount - old[name] for name, amount in sum_traffic(after, kinds).items()}
 
 
 @pytest.mark.parametrize("count", [7, 16])
-def test_a_real_scheduler_hears_from_hollow_peers_what_it_hears_from_real_ones(
+def test_traffic_of_a_real_scheduler_is_the_same_with_hollow_and_real_peers(
     tmp_path: Path, count: int
 ) -> None:
-    told: dict[bool, list[tuple[dict[str, TrafficRow], dict[str, TrafficRow]]]] = {}
+    readings: dict[bool, list[tuple[dict[str, TrafficRow], dict[str, TrafficRow]]]] = {}
     for hollow in (False, True):
-        bed = Bed(tmp_path / str(hollow), count, hollow)
-        bed.run(SETTLE_S)
-        watched = (0, REAL - 1)  # a voter, and one that is none
-        before = [heard(bed, at) for at in watched]
-        bed.run(MEASURED_S)
-        told[hollow] = [(old, heard(bed, at)) for old, at in zip(before, watched, strict=True)]
-        for daemon in bed.daemons:
+        fleet = SchedulerFleet(tmp_path / str(hollow), count, hollow)
+        fleet.run(SETTLE_S)
+        watched = (0, REAL - 1)  # a voter and a scheduler that is not a voter
+        before = [read_traffic(fleet, at) for at in watched]
+        fleet.run(MEASURED_S)
+        readings[hollow] = [(old, read_traffic(fleet, at)) for old, at in zip(before, watched, strict=True)]
+        for daemon in fleet.daemons:
             assert f"ladderhub_members {REAL + count}.0" in daemon.metrics.render_page()[2].decode()
-        bed.close()
-    for real, hollow_ones in zip(told[False], told[True], strict=True):
-        every = set(real[1]) | set(hollow_ones[1])
-        for kinds in (every, *({kind} for kind in REGULAR)):
-            beside_real, beside_hollow = passed(*real, kinds), passed(*hollow_ones, kinds)
-            for name, expected in beside_real.items():
-                most_off = max(0.01 * expected, 1 if "messages" in name else 100)
-                assert abs(beside_hollow[name] - expected) <= most_off, (
-                    sorted(kinds), name, expected, beside_hollow[name],
+        fleet.close()
+    for real, hollow_ones in zip(readings[False], readings[True], strict=True):
+        all_kinds = set(real[1]) | set(hollow_ones[1])
+        for kinds in (all_kinds, *({kind} for kind in REGULAR)):
+            with_real, with_hollow = subtract_traffic(*real, kinds), subtract_traffic(*hollow_ones, kinds)
+            for name, expected in with_real.items():
+                tolerance = max(0.01 * expected, 1 if "messages" in name else 100)
+                assert abs(with_hollow[name] - expected) <= tolerance, (
+                    sorted(kinds), name, expected, with_hollow[name],
                 )  # fmt: skip
 
 
-def test_a_process_of_hollow_schedulers_leaves_what_it_counted(tmp_path: Path) -> None:
+def test_process_of_hollow_schedulers_writes_its_counters(tmp_path: Path) -> None:
     file, out = tmp_path / "plan.json", tmp_path / "out.json"
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as seed:
         seed.bind(("127.0.0.1", 0))
