--- a/tests/lab/test_hollow_schedulers.py
+++ b/tests/lab/test_hollow_schedulers.py
@@ -27,9 +27,7 @@
 S = 1_000_000_000
 STEP_NS = 50_000_000
 TURNS_PER_STEP = 4  # enough for a probe, its answer, and the reactions to it
-FIRST_LIFE = (
-    1 << 61
-)  # larger than any clock value, so that lives and the rings derived from them are reproducible
+FIRST_LIFE = 1 << 61  # above any clock value, so that lives and the rings made from them are reproducible
 VOTERS, REAL = 3, 4
 SETTLE_S, MEASURED_S = 40, 60
 REGULAR = ("ping", "ack", "lease_request", "lease_grant", "ask_head", "head_is")
--- a/tests/lab/test_scale_parts.py
+++ b/tests/lab/test_scale_parts.py
@@ -22,9 +22,9 @@
     Counters,
     Reading,
     Traffic,
-    read_directory_counters,
     parse_counters,
     parse_gauge,
+    read_directory_counters,
 )
 from ladderhub.lab.scale.plan import (
     DIMENSIONS, Budget, Control, Overrides, Plan, PlanError, ScaleError, apply_overrides, compute_slope_sizes,
@@ -34,19 +34,19 @@
 from ladderhub.lab.scale.roles import compute_client_door_figures, compute_process_figures, compute_role_mean
 from ladderhub.lab.scale.run import RunPlan, count_running_jobs
 from ladderhub.lab.scale.settings import (
-    compute_elector_count,
     build_host_plans,
     build_load_plans,
     build_node_plans,
     build_team_settings,
+    compute_elector_count,
 )
 from ladderhub.lab.scale.slopes import (
-    select_large_errors,
     compare_figures,
     fit_line,
+    fit_slope,
     is_straight,
     predict,
-    fit_slope,
+    select_large_errors,
 )
 from ladderhub.lab.scale.stages import (
     RunCache, check_run_budgets, compare_with_prediction, fit_slopes, plan_full_run, plan_slope_runs,
