--- a/ladderhub/lab/scale/children.py
+++ b/ladderhub/lab/scale/children.py
@@ -38,9 +38,11 @@
 
     @property
     def pid(self) -> int:
+        """The process id."""
         return self.process.pid
 
     def is_alive(self) -> bool:
+        """Return whether the process is still running."""
         return self.process.poll() is None
 
     def write_command(self, line: str) -> None:
@@ -51,6 +53,7 @@
                 self.process.stdin.flush()
 
     def signal(self, number: signal.Signals) -> None:
+        """Send a signal to the process if it is still running."""
         if self.is_alive():
             self.process.send_signal(number)
 
@@ -93,6 +96,7 @@
         return child
 
     def list_by_role(self, role: str) -> list[Child]:
+        """Return the processes of one role."""
         return [child for child in self.members if child.role == role]
 
     def check_limits(self) -> None:
--- a/ladderhub/lab/scale/fleet.py
+++ b/ladderhub/lab/scale/fleet.py
@@ -223,6 +223,7 @@
     # --- load, churn and configuration changes ----------------------------------------------------------
 
     def start_load(self) -> None:
+        """Start the processes that submit jobs."""
         targets = [scheduler.listen for scheduler in self.schedulers]
         for index, plan in enumerate(run_settings.build_load_plans(self.plan, self.size, targets, self.seed)):
             self.loads.append(self._start_host_process("load", LOAD, f"load-{index}", plan))
--- a/ladderhub/lab/scale/guard.py
+++ b/ladderhub/lab/scale/guard.py
@@ -14,6 +14,7 @@
 
 
 def main() -> None:
+    """Read process ids until the end of the standard input, then kill the processes."""
     # Ctrl-C in a terminal is sent to this process too, but it has to outlive the run.
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     signal.signal(signal.SIGTERM, signal.SIG_IGN)
--- a/ladderhub/lab/scale/hollow_nodes.py
+++ b/ladderhub/lab/scale/hollow_nodes.py
@@ -100,6 +100,7 @@
         self.result = HostResult()
 
     def start(self) -> None:
+        """Start all nodes of the plan as warm ones."""
         for node in self._plan.nodes:
             agent = self._start_agent(node, is_fresh=False)
             agent.ready_ns = agent.admission.ready_ns = self._loop.now_ns() - INITIAL_UPTIME_NS
@@ -177,6 +178,7 @@
 
 
 def main() -> None:
+    """Run the nodes until SIGTERM or the end of the standard input."""
     plan: HostPlan = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=HostPlan)
     loop = Loop(trouble=lambda where, error: print(f"{where}: {error!r}", file=sys.stderr, flush=True))
     host = NodeHost(loop, plan)
--- a/ladderhub/lab/scale/hollow_schedulers.py
+++ b/ladderhub/lab/scale/hollow_schedulers.py
@@ -90,6 +90,7 @@
 
     @property
     def advertise(self) -> str:
+        """The address as `host:port`."""
         return "{}:{}".format(*self.address)
 
 
@@ -103,9 +104,11 @@
         """Do nothing: a hollow scheduler has only one life."""
 
     def check_body(self, body: bytes) -> str | None:
+        """Accept every policy."""
         return None
 
     def activate(self, revision: Revision) -> None:
+        """Record the number of the active revision."""
         self.active = revision.header.number
 
     def answer(self, request: int, outcome: Outcome) -> None:
@@ -227,11 +230,13 @@
         )
 
     def leave(self) -> None:
+        """Have all members leave the group."""
         for member in self.members:
             member.leave()
 
 
 def main() -> None:
+    """Run the hollow schedulers until SIGTERM."""
     plan: HollowPlan = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=HollowPlan)
     raise_descriptor_limit()
     loop = Loop(trouble=lambda where, error: print(f"{where}: {error!r}", file=sys.stderr, flush=True))
--- a/ladderhub/lab/scale/load.py
+++ b/ladderhub/lab/scale/load.py
@@ -88,6 +88,7 @@
         self.result = LoadResult()
 
     def start(self) -> None:
+        """Schedule the first submission."""
         self._schedule(self._started_ns)
 
     def stop(self) -> None:
@@ -135,6 +136,7 @@
 
 
 def main() -> None:
+    """Submit jobs until SIGTERM or the end of the standard input."""
     plan: LoadPlan = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=LoadPlan)
     loop = Loop(trouble=lambda where, error: print(f"{where}: {error!r}", file=sys.stderr, flush=True))
     generator = Generator(loop, plan)
--- a/ladderhub/lab/scale/plan.py
+++ b/ladderhub/lab/scale/plan.py
@@ -41,6 +41,7 @@
     changes_per_h: float
 
     def get_value(self, dimension: str) -> float:
+        """Return the value of the dimension with this name."""
         return float(getattr(self, dimension))
 
 
--- a/ladderhub/lab/scale/settings.py
+++ b/ladderhub/lab/scale/settings.py
@@ -21,6 +21,7 @@
 
 
 def format_address(address: tuple[str, int]) -> str:
+    """Return the address as `host:port`."""
     return "{}:{}".format(*address)
 
 
@@ -33,6 +34,7 @@
 
 
 def make_team_names(count: int) -> list[str]:
+    """Return the names of `count` teams."""
     return [f"team-{index + 1:04d}" for index in range(count)]
 
 
--- a/ladderhub/lab/scale/slopes.py
+++ b/ladderhub/lab/scale/slopes.py
@@ -19,6 +19,7 @@
     residual: float
 
     def evaluate(self, x: float) -> float:
+        """Return the y value of the line at `x`."""
         return self.intercept + self.per_unit * x
 
 
--- a/ladderhub/lab/scale/stages.py
+++ b/ladderhub/lab/scale/stages.py
@@ -36,6 +36,7 @@
         self._plan, self._folder, self._execute = plan, folder, execute
 
     def get_path(self, run: RunPlan) -> Path:
+        """Return the path of the file that stores a run."""
         return self._folder / "runs" / f"{run.name}.json"
 
     def load(self, run: RunPlan) -> RunFigures | None:
--- a/tests/lab/test_scale_parts.py
+++ b/tests/lab/test_scale_parts.py
@@ -482,7 +482,7 @@
 # --- processes ------------------------------------------------------------------------------------------
 
 
-def test_the_guard_ends_what_a_killed_run_left_behind() -> None:
+def test_guard_kills_the_processes_of_a_killed_run() -> None:
     child = subprocess.Popen([sys.executable, "-c", "import time; time.sleep(600)"])
     guard = subprocess.Popen(module("ladderhub.lab.scale.guard"), stdin=subprocess.PIPE)
     assert guard.stdin is not None
