--- a/benchmarks/hollow.py
+++ b/benchmarks/hollow.py
@@ -26,7 +26,7 @@
 from ladderhub.lab.ports import free_port
 from ladderhub.lab.process import build_module_command
 from ladderhub.lab.scale.hollow_schedulers import HollowPlan, HollowResult
-from ladderhub.lab.scale.measure import WHOLE, Counted, counted_on, fetch, gauge_on
+from ladderhub.lab.scale.measure import ALL_CAUSES, Counters, parse_counters, fetch_page, parse_gauge
 
 VOTERS, BASE_COUNT = 3, 4
 SETTLE_S = 25.0  # voters grant nothing for one lease, and slots have a pause before their use
@@ -121,15 +121,15 @@
     def _wait_ready(self) -> None:
         until = time.monotonic() + READY_S
         while time.monotonic() < until:
-            pages = [fetch(self._http[at], "/metrics") for at in range(BASE_COUNT)]
-            if all(page and gauge_on(page, "ladderhub_members") == self._total for page in pages):
+            pages = [fetch_page(self._http[at], "/metrics") for at in range(BASE_COUNT)]
+            if all(page and parse_gauge(page, "ladderhub_members") == self._total for page in pages):
                 return
             time.sleep(0.5)
         raise SystemExit(f"the schedulers did not see all members in time; logs are in {self._folder}")
 
-    def _read_counters(self, at: int) -> Counted:
-        page = fetch(self._http[at], "/metrics")
-        counted = counted_on(page) if page else None
+    def _read_counters(self, at: int) -> Counters:
+        page = fetch_page(self._http[at], "/metrics")
+        counted = parse_counters(page) if page else None
         if counted is None:
             raise SystemExit(f"scheduler {at} returned no counters in /metrics; logs are in {self._folder}")
         return counted
@@ -145,14 +145,14 @@
                 process.kill()
 
 
-def _get_usage(before: Counted, after: Counted, seconds: float) -> Usage:
-    def sum_peer_traffic(counted: Counted, what: str) -> float:
+def _get_usage(before: Counters, after: Counters, seconds: float) -> Usage:
+    def sum_peer_traffic(counted: Counters, what: str) -> float:
         kinds = getattr(counted, what)
         return sum(
             (each.in_ or 0) + (each.out or 0) for kind, each in kinds.items() if kind not in OTHER_KINDS
         )
 
-    def sum_processor_s(counted: Counted) -> float:
+    def sum_processor_s(counted: Counters) -> float:
         return counted.processor_s["peers"] + counted.processor_s["configuration"]
 
     return Usage(
@@ -189,7 +189,7 @@
             f"{100 * each.processor:.2f} % of a core"
         )
     for result in results:
-        whole = result.counted.processor_s[WHOLE] / result.seconds
+        whole = result.counted.processor_s[ALL_CAUSES] / result.seconds
         seen = result.members_seen
         print(
             f"N={count} process of {result.count}: members seen {seen.least} to {seen.most}; leases held "
