--- a/benchmarks/losses.py
+++ b/benchmarks/losses.py
@@ -288,7 +288,7 @@
             Registration(loop, ("127.0.0.1", port), build_entry(at))
         watcher = Watcher(loop, ("127.0.0.1", port))
         run_for(loop, 6)
-        known = {entry.name for _, told in watcher.lists for entry in told.entries}
+        known = {entry.name for _, listed in watcher.lists for entry in listed.entries}
         print(f"{len(known)} of {count} nodes listed before")
         rng = random.Random(args.seed)
         for trial in range(args.trials):
@@ -307,12 +307,12 @@
 
 def print_restart(trial: int, count: int, killed_ns: int, lists: list[tuple[int, Listed]]) -> None:
     """Print the first list after a restart and when all nodes were listed."""
-    full = next(((at, told) for at, told in lists if told.kind == "full"), None)
+    full = next(((at, listed) for at, listed in lists if listed.kind == "full"), None)
     if full is None:
         print(f"restart {trial}: no full list came")
         return
-    at_ns, told = full
-    known = {entry.name for entry in told.entries}
+    at_ns, listed = full
+    known = {entry.name for entry in listed.entries}
     missing, complete_ns = count - len(known), at_ns
     for later_ns, other in lists:
         if later_ns > at_ns:
@@ -341,16 +341,16 @@
     try:
         watcher = Watcher(loop, ("127.0.0.1", port))
         run_for(loop, 10)
-        print(f"listed before: {[entry.stage for _, told in watcher.lists for entry in told.entries]}")
+        print(f"listed before: {[entry.stage for _, listed in watcher.lists for entry in listed.entries]}")
         watcher.lists.clear()
         node.send_signal(signal.SIGSTOP)
         run_for(loop, args.silence)
-        stages = [entry.stage for _, told in watcher.lists for entry in told.entries]
+        stages = [entry.stage for _, listed in watcher.lists for entry in listed.entries]
         print(f"told within {args.silence:.0f} s of its silence: {stages or 'nothing'}")
         watcher.lists.clear()
         node.kill()
         run_for(loop, 4)
-        stages = [entry.stage for _, told in watcher.lists for entry in told.entries]
+        stages = [entry.stage for _, listed in watcher.lists for entry in listed.entries]
         print(f"told within 4 s of its end, which closes its connections: {stages or 'nothing'}")
     finally:
         node.kill()
--- a/benchmarks/pick.py
+++ b/benchmarks/pick.py
@@ -86,13 +86,13 @@
         """Schedule the events of an attempt, which is refused, fails or runs."""
         number, attempt = sent.task, self.attempt_counts[sent.task]
         self.attempt_counts[number] += 1
-        asked, chance = self.asked[number], self.random.random()
+        asked, draw = self.asked[number], self.random.random()
         ended = (number, attempt, sent.machine)
         soon = self.now + 5 * MS
-        if chance < 0.06:
+        if draw < 0.06:
             self.schedule(soon, api.AttemptEnded(*ended, api.Outcome.REFUSED, api.Reason.MEMORY))
             return
-        if chance < 0.08:
+        if draw < 0.08:
             self.schedule(soon, api.AttemptEnded(*ended, api.Outcome.UNREACHABLE))
             return
         start = round(self.random.choice((150, 900)) * MS * self.random.uniform(0.8, 1.5))
--- a/benchmarks/rolling_restart.py
+++ b/benchmarks/rolling_restart.py
@@ -203,9 +203,9 @@
         answers, adopted = self.read_answers()
         for phase in PHASES:
             jobs = [job for job in self.jobs if job.phase == phase]
-            away = Counter(_get_refusal_kind(job) for job in jobs if not job.identifier)
+            not_taken = Counter(_get_refusal_kind(job) for job in jobs if not job.identifier)
             taken = [job for job in jobs if job.identifier]
-            words = Counter(answers.get(job.identifier, (0.0, "never answered"))[1] for job in taken)
+            answer_counts = Counter(answers.get(job.identifier, (0.0, "never answered"))[1] for job in taken)
             spans = sorted(
                 answers[job.identifier][0] - job.planned
                 for job in taken
@@ -214,9 +214,10 @@
             starts = self.starts.get(phase, Counter())
             cold = 100 * starts[False] / max(1, starts.total())
             yield (
-                f"{phase}: {len(jobs)} submitted, not taken {sum(away.values())} {dict(away)}; "
-                f"of those taken {dict(words)}; running after {_get_quantile_ms(spans, 0.5):.0f} ms p50, "
-                f"{_get_quantile_ms(spans, 0.99):.0f} ms p99; cold starts {cold:.1f} % of {starts.total()}"
+                f"{phase}: {len(jobs)} submitted, not taken {sum(not_taken.values())} {dict(not_taken)}; "
+                f"of those taken {dict(answer_counts)}; running after "
+                f"{_get_quantile_ms(spans, 0.5):.0f} ms p50, {_get_quantile_ms(spans, 0.99):.0f} ms p99; "
+                f"cold starts {cold:.1f} % of {starts.total()}"
             )
         yield f"running jobs taken over from nodes (not rerunnable any more): {adopted}"
 
--- a/benchmarks/teams.py
+++ b/benchmarks/teams.py
@@ -39,9 +39,9 @@
 
 def build_load(args: argparse.Namespace, site: Site, teams: int, times: float, seed: int) -> Load:
     """Build the load of the peak times a factor; only the greedy share of the teams exceeds its quota."""
-    greedy = max(1, round(args.greedy * teams))
-    extra = (times - 1) * teams / greedy
-    weights = list(accumulate(1 + extra if team < greedy else 1.0 for team in range(teams)))
+    greedy_teams = max(1, round(args.greedy * teams))
+    extra = (times - 1) * teams / greedy_teams
+    weights = list(accumulate(1 + extra if team < greedy_teams else 1.0 for team in range(teams)))
     life_s = args.running / args.starts
     return Load(site, args.starts * times, life_s, teams, seed, args.urgent, args.deadline, weights=weights)
 
@@ -148,7 +148,7 @@
         used = [place.spent.get_total_ns() - was for place, was in zip(site.schedulers, spent, strict=True)]
         load.run(site.settings.limit_ns / S if times > 1 else SETTLING_S)  # until the last tasks are answered
         records = site.records[first:last]
-        greedy = max(1, round(args.greedy * teams))
+        greedy_teams = max(1, round(args.greedy * teams))
         print(
             f"{times:g} times the peak, seed {args.seed}, {teams} teams, {args.seconds:g} s simulated; "
             f"module {'charged' if args.charged else 'not charged'}; nodes {site.get_utilization():.2f} full"
@@ -159,8 +159,8 @@
             of_class = [record for record in records if record.spec.klass == klass]
             print_starts(f"{name}, all teams", of_class, args.within)
             if times > 1:
-                inside = [record for record in of_class if record.spec.tenant >= greedy]
-                above = [record for record in of_class if record.spec.tenant < greedy]
+                inside = [record for record in of_class if record.spec.tenant >= greedy_teams]
+                above = [record for record in of_class if record.spec.tenant < greedy_teams]
                 print_starts(f"{name}, teams within quota", inside, args.within)
                 print_starts(f"{name}, teams above quota", above, args.within)
 
--- a/ladderhub/lab/load.py
+++ b/ladderhub/lab/load.py
@@ -205,13 +205,13 @@
     try:
         load_test.fleet.run_for(500 * MS)
         before = read_memory_kib(load_test.get_pid())
-        taken: list[str] = []
+        accepted: list[str] = []
         count = 0
         while count < jobs:
             for _ in range(min(64, jobs - count)):
-                load_test.submit(1, lambda job, _: taken.append(job), held=True)
+                load_test.submit(1, lambda job, _: accepted.append(job), held=True)
                 count += 1
-            held = partial(_has_count, taken, count)
+            held = partial(_has_count, accepted, count)
             load_test.fleet.run_until(held, 30 * S)
         after = read_memory_kib(load_test.get_pid())
         spans = []
--- a/ladderhub/lab/nodehost.py
+++ b/ladderhub/lab/nodehost.py
@@ -62,23 +62,23 @@
 class RecordingAgent(Agent):
     """An agent that records when the first offer of a job arrived and when the job started."""
 
-    came: dict[str, int]
-    ran: dict[str, int]
+    offered_ns: dict[str, int]
+    started_ns: dict[str, int]
 
     def queue_job(self, request: Request, answer: Any) -> None:
-        self.came.setdefault(request.job, self.loop.now_ns())
+        self.offered_ns.setdefault(request.job, self.loop.now_ns())
         super().queue_job(request, answer)
 
     def _on_started(self, key: RunKey) -> None:
-        self.ran.setdefault(key[0], self.loop.now_ns())
+        self.started_ns.setdefault(key[0], self.loop.now_ns())
         super()._on_started(key)
 
 
 def main() -> None:
     plan: HostPlan = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=HostPlan)
     loop = Loop()
-    came: dict[str, int] = {}
-    ran: dict[str, int] = {}
+    offered_ns: dict[str, int] = {}
+    started_ns: dict[str, int] = {}
     traffic = Traffic()
     emulated = EmulatedSettings(plan.warm_ns, plan.cold_times)
     for node in plan.nodes:
@@ -89,12 +89,12 @@
             traffic=traffic,
         )  # fmt: skip
         agent.ready_ns = agent.admission.ready_ns = loop.now_ns() - 3600 * S
-        agent.came, agent.ran = came, ran
+        agent.offered_ns, agent.started_ns = offered_ns, started_ns
     loop.on_signal(signal.SIGTERM, loop.stop)
     loop.run()
     out = Path(sys.argv[2])
-    out.write_bytes(msgspec.json.encode({job: (came[job], ran[job]) for job in ran}))
-    stats = HostStats(time.process_time(), traffic.to_rows(), len(plan.nodes), len(ran))
+    out.write_bytes(msgspec.json.encode({job: (offered_ns[job], started_ns[job]) for job in started_ns}))
+    stats = HostStats(time.process_time(), traffic.to_rows(), len(plan.nodes), len(started_ns))
     out.with_name(out.name + ".stats").write_bytes(msgspec.json.encode(stats))
 
 
