--- a/ladderhub/lab/checker/__init__.py
+++ b/ladderhub/lab/checker/__init__.py
@@ -1,6 +1,6 @@
-"""Bounded exhaustive checks of decisions that must hold under any schedule: `leases`, `ballots`.
+"""Bounded model checking of invariants that must hold under any schedule: `leases` and `ballots`.
 
-The modules themselves are run, step by step, under every choice of faults up to a bound, and under random
-schedules beyond it; nothing is modelled but time and the network.  Imports the decision packages and the
-emulator alone.
+The checks run the production classes step by step, under every combination of faults up to a bound and then
+under random schedules.  Only time and the network are simulated.  `schedules` runs whole schedulers under
+random faults.  The package imports only the decision packages and the emulator.
 """
--- a/ladderhub/lab/checker/ballot_processes.py
+++ b/ladderhub/lab/checker/ballot_processes.py
@@ -1,4 +1,4 @@
-"""The processes that the search of ballots runs: voters by their records, and operators' proposers."""
+"""State of the processes in the ballot search: voters, given by their records, and operators' proposers."""
 
 from __future__ import annotations
 
@@ -21,22 +21,25 @@
 VOTERS = ("v0:1", "v1:1", "v2:1")
 OPERATORS = ("p0:1", "p1:1")
 PROCESSES = (*VOTERS, *OPERATORS)
-LATE = 1 << 60  # every timer is due
+FAR_FUTURE_NS = 1 << 60  # later than every timer
 
 
 @dataclass(frozen=True)
 class CheckedClasses:
-    """The classes that are checked."""
+    """The classes under test; tests replace them to inject faults."""
 
     ledger: type[Ledger] = Ledger
     voter: type[Voter] = Voter
-    decision: type[PaxosInstance] = PaxosInstance
+    instance: type[PaxosInstance] = PaxosInstance
 
 
 @dataclass(frozen=True)
 class Bounds:
-    """`numbers`: revisions that are decided; `ballots`: of each operator's proposer, in all its lives;
-    `restarts`: of each proposer; `states`: after which the search ends without having seen all."""
+    """Limits of the search.
+
+    `numbers`: how many revisions are decided.  `ballots`: how many ballots each operator's proposer may begin
+    over all its lives.  `restarts`: how often each proposer may restart.  `states`: after how many states the
+    search stops, even if it is not complete."""
 
     numbers: int = 1
     ballots: tuple[int, int] = (1, 1)
@@ -46,31 +49,31 @@
 
 @dataclass(frozen=True)
 class VoterState:
-    """What it has in memory and on disk."""
+    """A voter's record in memory and on disk."""
 
     memory: Record
     disk: Record
 
 
-class Proposing:
-    """One life of an operator's process: its change goes on top of whatever is current."""
+class ProposerProcess:
+    """One life of an operator's process, which proposes a change on top of the current revision."""
 
     def __init__(
-        self, classes: CheckedClasses, bounds: Bounds, address: str, life: int, begun: int = 0
+        self, classes: CheckedClasses, bounds: Bounds, address: str, life: int, ballots_begun: int = 0
     ) -> None:
-        self.classes, self.bounds, self.life, self.begun = classes, bounds, life, begun
-        self.ballots = bounds.ballots[OPERATORS.index(address)]
+        self.classes, self.bounds, self.life, self.ballots_begun = classes, bounds, life, ballots_begun
+        self.max_ballots = bounds.ballots[OPERATORS.index(address)]
         self.context = Context(RevisionSettings(address, life, address, VOTERS, b""), life)
         self.ledger = classes.ledger(self.context, None)
-        self._rounds = 0  # begun in this life
-        self.decision: PaxosInstance | None = self._next()
+        self._rounds_begun = 0
+        self.instance: PaxosInstance | None = self._create_next_instance()
 
-    def _next(self) -> PaxosInstance | None:
+    def _create_next_instance(self) -> PaxosInstance | None:
         number = self.ledger.head_number + 1
         if number > self.bounds.numbers:
             return None
         name = self.context.settings.name
-        own = Header(
+        own_header = Header(
             number,
             self.ledger.head_digest,
             name,
@@ -78,73 +81,75 @@
             f"change {number}, life {self.life}",
             body_digest(name.encode()),
         )
-        return self.classes.decision(self.context, number, own, 1)
+        return self.classes.instance(self.context, number, own_header, 1)
 
-    def can_begin(self) -> bool:
-        open_yet = self.decision is not None and self.decision.chosen is None
-        return open_yet and self.begun < self.ballots
+    def can_begin_ballot(self) -> bool:
+        is_undecided = self.instance is not None and self.instance.chosen is None
+        return is_undecided and self.ballots_begun < self.max_ballots
 
-    def begin(self) -> None:
-        """A ballot above the last one: after a rejection, or given up for any other reason."""
-        assert self.decision is not None
-        self.decision._ballot = None
-        self.begun += 1
-        self._rounds += 1
-        self.decision.next_round = max(self.decision.next_round, self._rounds)
-        self.decision.tick(LATE)
+    def begin_ballot(self) -> None:
+        """Begins a ballot above the last one, whether that was rejected or abandoned."""
+        assert self.instance is not None
+        self.instance._ballot = None
+        self.ballots_begun += 1
+        self._rounds_begun += 1
+        self.instance.next_round = max(self.instance.next_round, self._rounds_begun)
+        self.instance.tick(FAR_FUTURE_NS)
 
     def receive(self, message: Any) -> None:
-        decision = self.decision
+        instance = self.instance
         if isinstance(message, Headers):
             if Sync(self.context, self.ledger).on_headers(0, "", message):
-                self.decision = self._next()
+                self.instance = self._create_next_instance()
         elif isinstance(message, FetchHeaders):
             Sync(self.context, self.ledger).on_fetch(message)
-        elif decision is None:
+        elif instance is None:
             return
         elif isinstance(message, Promise):
-            decision.on_promise(0, message)
+            instance.on_promise(0, message)
         elif isinstance(message, Accepted):
-            decision.on_accepted(message)
+            instance.on_accepted(message)
         elif isinstance(message, Rejected):
-            decision.on_rejected(0, message)
-        if decision is not None and decision.chosen is not None and self.ledger.extends_head(decision.chosen):
-            self.ledger.record_chosen(decision.chosen)
-            self.decision = self._next()
-            if self.decision is not None:  # nothing is asked for after the last number
+            instance.on_rejected(0, message)
+        if instance is not None and instance.chosen is not None and self.ledger.extends_head(instance.chosen):
+            self.ledger.record_chosen(instance.chosen)
+            self.instance = self._create_next_instance()
+            if self.instance is not None:  # nobody fetches headers after the last number
                 for address in PROCESSES:
                     self.context.send(address, Headers(self.ledger.first_number, tuple(self.ledger.headers)))
 
-    def key(self) -> Hashable:
-        """All that its further steps rest on."""
-        decision = self.decision
-        if decision is None:
-            return self.life, self.begun, self._rounds, tuple(self.ledger.headers)
-        promises = tuple(sorted(decision._promises.items())) if decision._value is None else ()
+    def build_state_key(self) -> Hashable:
+        """Returns everything that determines the process's future steps."""
+        instance = self.instance
+        if instance is None:
+            return self.life, self.ballots_begun, self._rounds_begun, tuple(self.ledger.headers)
+        promises = tuple(sorted(instance._promises.items())) if instance._value is None else ()
         return (
-            self.life, self.begun, self._rounds, tuple(self.ledger.headers), decision.number,
-            decision.next_round, decision._ballot, promises, decision._value,
-            frozenset(decision._accepted_by), decision.chosen,
+            self.life, self.ballots_begun, self._rounds_begun, tuple(self.ledger.headers), instance.number,
+            instance.next_round, instance._ballot, promises, instance._value,
+            frozenset(instance._accepted_by), instance.chosen,
         )  # fmt: skip
 
-    def copied(self) -> Proposing:
-        """A copy to go on with; what is only read is shared."""
+    def clone(self) -> ProposerProcess:
+        """Returns a copy that can run independently; data that is only read is shared."""
         other = copy.copy(self)
         other.context = copy.copy(self.context)
         other.context.actions = []
         other.ledger = copy.deepcopy(self.ledger, {id(self.context): other.context})
-        if self.decision is not None:
-            other.decision = copy.copy(self.decision)
-            other.decision._context = other.context
-            other.decision._promises = dict(self.decision._promises)
-            other.decision._accepted_by = set(self.decision._accepted_by)
-            other.decision.answered_by = set()
+        if self.instance is not None:
+            other.instance = copy.copy(self.instance)
+            other.instance._context = other.context
+            other.instance._promises = dict(self.instance._promises)
+            other.instance._accepted_by = set(self.instance._accepted_by)
+            other.instance.answered_by = set()
         return other
 
-    def rename(self, names: dict[str, str]) -> None:
-        """Have it know the voters by other names."""
-        decision = self.decision
-        if decision is not None:
-            promises = decision._promises.items()
-            decision._promises = {names[voter]: replace(told, voter=names[voter]) for voter, told in promises}
-            decision._accepted_by = {names[voter] for voter in decision._accepted_by}
+    def rename_voters(self, names: dict[str, str]) -> None:
+        """Replaces voters' names in the proposer's state."""
+        instance = self.instance
+        if instance is not None:
+            promises = instance._promises.items()
+            instance._promises = {
+                names[voter]: replace(promise, voter=names[voter]) for voter, promise in promises
+            }
+            instance._accepted_by = {names[voter] for voter in instance._accepted_by}
--- a/ladderhub/lab/checker/ballots.py
+++ b/ladderhub/lab/checker/ballots.py
@@ -1,15 +1,18 @@
-"""Ballots under every order of messages up to a bound: no number has two values, each the child of the last.
+"""Checks ballots under every order of messages up to a bound.
 
-Three voters and two operators' proposers, run step by step as they are.  Every message to a voter, and every
-word of what was chosen, may be delivered at any moment, any number of times, or never: so losses, doubles and
-delays need no choices of their own.  A voter's answer comes at once or never.  That loses no schedule: an
-answer that comes late only makes its proposer send later what may be delivered late anyway, and where it
-comes after a majority it counts for nothing.  A voter may be killed after any of its actions and start again
-from its record; a proposer may be killed and start again with nothing.
+Invariant: each revision number has one chosen value, which is the child of the revision before it.
 
-Who does what in which state with which message is run once and kept, so that the search itself handles small
-numbers: a state is one number a process and the set of messages sent so far.  Of states that differ in the
-names of the voters alone one is searched; in a trace names may change from step to step."""
+The search runs three voters and the proposers of two operators, with the production classes.  Every message
+to a voter, and every message about a chosen value, may be delivered at any time, any number of times, or
+never.  This covers loss, duplication and delay.  A voter's answer is delivered immediately or never.  This
+misses no schedule: a late answer only makes its proposer send later what may be delivered late anyway, and an
+answer after a majority has no effect.  A voter may be killed after any of its actions and restart from its
+record.  A proposer may be killed and restart with no state.
+
+The result of delivering a message to a process in a state is computed once and cached, so the search handles
+only small numbers: a state is one number per process and the set of messages sent so far.  Of the states that
+differ only in the names of the voters, one is searched.  In a trace, the names may therefore change from step
+to step."""
 
 from __future__ import annotations
 
@@ -24,7 +27,7 @@
 from msgspec.structs import replace
 
 from ladderhub.lab.checker.ballot_processes import (
-    OPERATORS, PROCESSES, VOTERS, Bounds, CheckedClasses, Proposing, VoterState,
+    OPERATORS, PROCESSES, VOTERS, Bounds, CheckedClasses, ProposerProcess, VoterState,
 )  # fmt: skip
 from ladderhub.revision.content import digest_of
 from ladderhub.revision.context import Context
@@ -32,23 +35,25 @@
 from ladderhub.revision.sync import Sync
 from ladderhub.revision.types import Record, RevisionSettings, Send, Store
 
-WALK_STEPS = 120
-PROPOSERS_AT = range(len(VOTERS), len(PROCESSES))
-ORDERS = tuple(permutations(range(len(VOTERS))))
-# By number of the order: what each voter is called where the one that stood at order[at] stands at `at`.
-NAMES = tuple({VOTERS[old]: VOTERS[new] for new, old in enumerate(order)} for order in ORDERS)
+MAX_WALK_STEPS = 120
+PROPOSER_INDEXES = range(len(VOTERS), len(PROCESSES))
+VOTER_ORDERS = tuple(permutations(range(len(VOTERS))))
+# For each order: each voter's new name when the voter at order[index] moves to `index`.
+VOTER_RENAMINGS = tuple({VOTERS[old]: VOTERS[new] for new, old in enumerate(order)} for order in VOTER_ORDERS)
 
 
 @dataclass
 class SearchResult:
+    """What a search covered, and the first violation with its trace, if there was one."""
+
     states: int = 0
     steps: int = 0
-    is_complete: bool = True  # all states within the bounds were seen
-    walks: int = 0  # schedules drawn at random
+    is_complete: bool = True  # all states within the bounds were searched
+    walks: int = 0  # random schedules
     seconds: float = 0.0
     violation: str = ""
     trace: tuple[str, ...] = ()
-    chosen: set[tuple[int, str]] = field(default_factory=set)  # values that were chosen in some schedule
+    chosen: set[tuple[int, str]] = field(default_factory=set)  # numbers and authors, over all schedules
 
     def lines(self) -> Iterator[str]:
         share = "all of them" if self.is_complete else "not all"
@@ -63,43 +68,43 @@
 
 
 _Step = tuple[int, tuple[int, ...]]  # the process's next state and the messages it sent
-_State = tuple[tuple[int, ...], frozenset[int]]  # of each process, and all messages
+_State = tuple[tuple[int, ...], frozenset[int]]  # each process's state, and all messages sent
 
 
 class Search:
-    """All states that can be reached within the bounds."""
+    """Explores the states that can be reached within the bounds."""
 
     def __init__(self, bounds: Bounds, classes: CheckedClasses) -> None:
         self.bounds, self.classes = bounds, classes
-        self.found = SearchResult()
+        self.result = SearchResult()
         self._messages: list[tuple[str, Any]] = []
         self._message_ids: dict[tuple[str, Any], int] = {}
-        self._states: list[Any] = []  # of processes: `VoterState` or `Proposing`
-        self._state_ids: dict[Hashable, int] = {}
-        self._taken: dict[tuple[int, int, int], tuple[_Step, ...]] = {}
-        self._own: dict[tuple[int, int], tuple[_Step, ...]] = {}
-        self._judged: dict[frozenset[int], str] = {}
-        self._sets: list[frozenset[int]] = []
-        self._set_ids: dict[frozenset[int], int] = {}
+        self._processes: list[Any] = []  # `VoterState` or `ProposerProcess`
+        self._process_ids: dict[Hashable, int] = {}
+        self._delivery_steps: dict[tuple[int, int, int], tuple[_Step, ...]] = {}
+        self._spontaneous_steps: dict[tuple[int, int], tuple[_Step, ...]] = {}
+        self._checked_messages: dict[frozenset[int], str] = {}
+        self._message_sets: list[frozenset[int]] = []
+        self._message_set_ids: dict[frozenset[int], int] = {}
         self._renamed_sets: dict[tuple[int, frozenset[int]], int] = {}
         self._renamed_messages: dict[tuple[int, int], int] = {}
         self._renamed_processes: dict[tuple[int, int, int], int] = {}
 
     # --- processes --------------------------------------------------------------------------------------
 
-    def _keep(self, at: int, process: VoterState | Proposing) -> int:
-        key = (at, process.key()) if isinstance(process, Proposing) else process
-        if key not in self._state_ids:
-            self._state_ids[key] = len(self._states)
-            self._states.append(process)
-        return self._state_ids[key]
+    def _add_process(self, index: int, process: VoterState | ProposerProcess) -> int:
+        key = (index, process.build_state_key()) if isinstance(process, ProposerProcess) else process
+        if key not in self._process_ids:
+            self._process_ids[key] = len(self._processes)
+            self._processes.append(process)
+        return self._process_ids[key]
 
-    def _number(self, sent: list[Send]) -> tuple[int, ...]:
+    def _add_messages(self, sent: list[Send]) -> tuple[int, ...]:
         numbers = []
         for each in sent:
             message = each.message
             if isinstance(message, Accept):
-                message = replace(message, holder=message.reply_to)  # all have all bodies here
+                message = replace(message, holder=message.reply_to)  # every process has every body
             key = (each.address, message)
             if key not in self._message_ids:
                 self._message_ids[key] = len(self._messages)
@@ -107,20 +112,20 @@
             numbers.append(self._message_ids[key])
         return tuple(numbers)
 
-    def _deliver(self, at: int, state: int, message: int) -> tuple[_Step, ...]:
-        """What this process may be after this message; killed after an action where that is another state."""
-        known = self._taken.get((at, state, message))
+    def _get_delivery_steps(self, index: int, state: int, message: int) -> tuple[_Step, ...]:
+        """Returns the steps a process may take on a message, including those that a crash cuts short."""
+        known = self._delivery_steps.get((index, state, message))
         if known is None:
-            process, content = self._states[state], self._messages[message][1]
+            process, content = self._processes[state], self._messages[message][1]
             if isinstance(process, VoterState):
-                known = self._voter_steps(at, process, content)
+                known = self._run_voter(index, process, content)
             else:
-                known = (self._proposer_step(at, process, lambda changed: changed.receive(content)),)
-            self._taken[at, state, message] = known
+                known = (self._run_proposer(index, process, lambda changed: changed.receive(content)),)
+            self._delivery_steps[index, state, message] = known
         return known
 
-    def _voter_steps(self, at: int, state: VoterState, message: Any) -> tuple[_Step, ...]:
-        address = VOTERS[at]
+    def _run_voter(self, index: int, state: VoterState, message: Any) -> tuple[_Step, ...]:
+        address = VOTERS[index]
         context = Context(RevisionSettings(address, 1, address, VOTERS, b""), 1)
         ledger = self.classes.ledger(context, state.memory)
         voter = self.classes.voter(context, ledger)
@@ -138,194 +143,204 @@
                 disk = action.record
             elif isinstance(action, Send):
                 sent.append(action)
-            steps[self._keep(at, VoterState(disk, disk)), self._number(sent)] = None
+            steps[self._add_process(index, VoterState(disk, disk)), self._add_messages(sent)] = None
         ledger.store()
         disk = next((each.record for each in context.actions[::-1] if isinstance(each, Store)), state.disk)
-        steps[self._keep(at, VoterState(ledger._build_record(), disk)), self._number(sent)] = None
+        steps[
+            self._add_process(index, VoterState(ledger._build_record(), disk)), self._add_messages(sent)
+        ] = None
         return tuple(steps)
 
-    def _proposer_step(self, at: int, process: Proposing, step: Callable[[Proposing], None]) -> _Step:
-        changed = process.copied()
+    def _run_proposer(
+        self, index: int, process: ProposerProcess, step: Callable[[ProposerProcess], None]
+    ) -> _Step:
+        changed = process.clone()
         step(changed)
         sent = [each for each in changed.context.actions if isinstance(each, Send)]
-        return self._keep(at, changed), self._number(sent)
+        return self._add_process(index, changed), self._add_messages(sent)
 
-    def _own_steps(self, at: int, state: int) -> tuple[_Step, ...]:
-        """What a process may do by itself: start again, or begin a ballot."""
-        known = self._own.get((at, state))
+    def _get_spontaneous_steps(self, index: int, state: int) -> tuple[_Step, ...]:
+        """Returns the steps a process may take without a message: restart, or begin a ballot."""
+        known = self._spontaneous_steps.get((index, state))
         if known is None:
-            process, steps = self._states[state], list[_Step]()
+            process, steps = self._processes[state], list[_Step]()
             if isinstance(process, VoterState):
                 if process.memory != process.disk:
-                    steps.append((self._keep(at, VoterState(process.disk, process.disk)), ()))
+                    steps.append((self._add_process(index, VoterState(process.disk, process.disk)), ()))
             else:
-                if process.can_begin():
-                    steps.append(self._proposer_step(at, process, Proposing.begin))
+                if process.can_begin_ballot():
+                    steps.append(self._run_proposer(index, process, ProposerProcess.begin_ballot))
                 if process.life <= self.bounds.restarts:
-                    address = OPERATORS[at - len(VOTERS)]
-                    again = Proposing(self.classes, self.bounds, address, process.life + 1, process.begun)
-                    steps.append((self._keep(at, again), ()))
-            known = self._own[at, state] = tuple(steps)
+                    address = OPERATORS[index - len(VOTERS)]
+                    again = ProposerProcess(
+                        self.classes, self.bounds, address, process.life + 1, process.ballots_begun
+                    )
+                    steps.append((self._add_process(index, again), ()))
+            known = self._spontaneous_steps[index, state] = tuple(steps)
         return known
 
     # --- the search -------------------------------------------------------------------------------------
 
     def run(self) -> SearchResult:
-        begun = time.perf_counter()
-        start = self._start()
-        came: dict[_State, tuple[_State, str] | None] = {start: None}
-        waiting = deque([start])
-        while waiting and not self.found.violation:
-            state = waiting.popleft()
-            for following, told in self._after(state):
-                self.found.steps += 1
-                after = self._by_any_names(following)
-                if after in came:
+        started_s = time.perf_counter()
+        start = self._create_start_state()
+        predecessors: dict[_State, tuple[_State, str] | None] = {start: None}
+        queue = deque([start])
+        while queue and not self.result.violation:
+            state = queue.popleft()
+            for following, description in self._find_successors(state):
+                self.result.steps += 1
+                after = self._canonicalize(following)
+                if after in predecessors:
                     continue
-                if len(came) >= self.bounds.states:
-                    self.found.is_complete = False
-                    waiting.clear()
+                if len(predecessors) >= self.bounds.states:
+                    self.result.is_complete = False
+                    queue.clear()
                     break
-                came[after] = (state, told)
-                fault = self._judge(after)
+                predecessors[after] = (state, description)
+                fault = self._check_state(after)
                 if fault:
-                    self.found.violation, self.found.trace = fault, self._trace(came, after)
+                    self.result.violation, self.result.trace = fault, self._build_trace(predecessors, after)
                     break
-                waiting.append(after)
-        self.found.states, self.found.seconds = len(came), time.perf_counter() - begun
-        return self.found
-
-    def walk(self, rng: random.Random) -> None:
-        """One schedule drawn at random, to its end or to `WALK_STEPS`."""
-        state, trace = self._start(), list[str]()
-        for _ in range(WALK_STEPS):
-            following = list(self._after(state))
+                queue.append(after)
+        self.result.states, self.result.seconds = len(predecessors), time.perf_counter() - started_s
+        return self.result
+
+    def run_random_walk(self, rng: random.Random) -> None:
+        """Runs one random schedule, to its end or for `MAX_WALK_STEPS`."""
+        state, trace = self._create_start_state(), list[str]()
+        for _ in range(MAX_WALK_STEPS):
+            following = list(self._find_successors(state))
             if not following:
                 return
-            state, told = rng.choice(following)
-            trace.append(told)
-            self.found.steps += 1
-            fault = self._judge(state)
+            state, description = rng.choice(following)
+            trace.append(description)
+            self.result.steps += 1
+            fault = self._check_state(state)
             if fault:
-                self.found.violation, self.found.trace = fault, tuple(trace)
+                self.result.violation, self.result.trace = fault, tuple(trace)
                 return
 
-    def _start(self) -> _State:
-        blank = Record(votes_from=1)
-        processes = [self._keep(at, VoterState(blank, blank)) for at in range(len(VOTERS))]
-        for at, address in enumerate(OPERATORS):
-            first = Proposing(self.classes, self.bounds, address, 1)
-            processes.append(self._keep(len(VOTERS) + at, first))
+    def _create_start_state(self) -> _State:
+        empty_record = Record(votes_from=1)
+        processes = [
+            self._add_process(index, VoterState(empty_record, empty_record)) for index in range(len(VOTERS))
+        ]
+        for index, address in enumerate(OPERATORS):
+            first = ProposerProcess(self.classes, self.bounds, address, 1)
+            processes.append(self._add_process(len(VOTERS) + index, first))
         return tuple(processes), frozenset()
 
-    def _after(self, state: _State) -> Iterator[tuple[_State, str]]:
+    def _find_successors(self, state: _State) -> Iterator[tuple[_State, str]]:
         processes, messages = state
-        for at, address in enumerate(PROCESSES):
-            for process, sent in self._own_steps(at, processes[at]):
-                yield self._changed(state, at, process, sent), f"{address} by itself"
+        for index, address in enumerate(PROCESSES):
+            for process, sent in self._get_spontaneous_steps(index, processes[index]):
+                yield self._apply_step(state, index, process, sent), f"{address} by itself"
         for message in messages:
             target, content = self._messages[message]
             if isinstance(content, Accepted):
-                continue  # kept for the judge
-            at = PROCESSES.index(target)
-            for process, sent in self._deliver(at, processes[at], message):
-                changed = self._changed(state, at, process, sent)
+                continue  # kept only for the check of chosen values
+            index = PROCESSES.index(target)
+            for process, sent in self._get_delivery_steps(index, processes[index], message):
+                changed = self._apply_step(state, index, process, sent)
                 if changed != state:
                     yield changed, f"{target} hears {content}"
                 for reply in sent:
                     to, answer = self._messages[reply]
                     if to in OPERATORS and not isinstance(answer, Headers):
-                        answered = self._answered(changed, reply)
+                        answered = self._deliver_reply(changed, reply)
                         if answered != state:
                             yield answered, f"{target} hears {content}, is heard"
 
-    def _answered(self, state: _State, reply: int) -> _State:
-        """A proposer hears at once what a voter says."""
-        at = PROCESSES.index(self._messages[reply][0])
-        ((process, sent),) = self._deliver(at, state[0][at], reply)
-        return self._changed(state, at, process, sent)
+    def _deliver_reply(self, state: _State, reply: int) -> _State:
+        """Delivers a voter's answer to the proposer immediately."""
+        index = PROCESSES.index(self._messages[reply][0])
+        ((process, sent),) = self._get_delivery_steps(index, state[0][index], reply)
+        return self._apply_step(state, index, process, sent)
 
-    def _changed(self, state: _State, at: int, process: int, sent: tuple[int, ...]) -> _State:
+    def _apply_step(self, state: _State, index: int, process: int, sent: tuple[int, ...]) -> _State:
         processes, messages = state
-        fresh = [each for each in sent if each not in messages and self._stays(each)]
-        if fresh:
-            messages = messages.union(fresh)
-        if process != processes[at]:
-            processes = (*processes[:at], process, *processes[at + 1 :])
+        new_messages = [each for each in sent if each not in messages and self._is_kept(each)]
+        if new_messages:
+            messages = messages.union(new_messages)
+        if process != processes[index]:
+            processes = (*processes[:index], process, *processes[index + 1 :])
         return processes, messages
 
-    def _stays(self, message: int) -> bool:
-        """May it be delivered later, or does the judge need it?"""
+    def _is_kept(self, message: int) -> bool:
+        """Whether a message may be delivered later or is needed by the check of chosen values."""
         target, content = self._messages[message]
         return target in VOTERS or isinstance(content, Headers | Accepted)
 
     @staticmethod
-    def _trace(came: dict[_State, tuple[_State, str] | None], state: _State) -> tuple[str, ...]:
+    def _build_trace(predecessors: dict[_State, tuple[_State, str] | None], state: _State) -> tuple[str, ...]:
         trace = []
-        step = came[state]
+        step = predecessors[state]
         while step is not None:
             trace.append(step[1])
-            step = came[step[0]]
+            step = predecessors[step[0]]
         return tuple(trace[::-1])
 
-    # --- states that differ in names alone --------------------------------------------------------------
+    # --- symmetry: states that differ only in voters' names ---------------------------------------------
 
-    def _by_any_names(self, state: _State) -> _State:
-        """The same for all states that only name the voters otherwise."""
+    def _canonicalize(self, state: _State) -> _State:
+        """Returns one representative of all states that differ only in the voters' names."""
         processes, messages = state
         voters = processes[: len(VOTERS)]
         first = tuple(sorted(voters))
-        others = []
-        for number, order in enumerate(ORDERS):
-            if tuple([voters[at] for at in order]) == first:
-                proposers = [self._renamed_process(number, at, processes[at]) for at in PROPOSERS_AT]
-                others.append((*proposers, self._renamed_set(number, messages)))
-        *least, at = min(others)
-        return (*first, *least), self._sets[at]
-
-    def _renamed_set(self, number: int, messages: frozenset[int]) -> int:
-        """The number of the set of these messages under other names."""
+        candidates = []
+        for number, order in enumerate(VOTER_ORDERS):
+            if tuple([voters[index] for index in order]) == first:
+                renamed = [
+                    self._rename_process(number, index, processes[index]) for index in PROPOSER_INDEXES
+                ]
+                candidates.append((*renamed, self._rename_message_set(number, messages)))
+        *proposers, message_set = min(candidates)
+        return (*first, *proposers), self._message_sets[message_set]
+
+    def _rename_message_set(self, number: int, messages: frozenset[int]) -> int:
+        """Returns the id of the set of these messages with the voters renamed."""
         key = (number, messages)
         found = self._renamed_sets.get(key)
         if found is None:
-            renamed = frozenset(self._renamed_message(number, each) for each in messages)
-            found = self._set_ids.setdefault(renamed, len(self._sets))
-            if found == len(self._sets):
-                self._sets.append(renamed)
+            renamed = frozenset(self._rename_message(number, each) for each in messages)
+            found = self._message_set_ids.setdefault(renamed, len(self._message_sets))
+            if found == len(self._message_sets):
+                self._message_sets.append(renamed)
             self._renamed_sets[key] = found
         return found
 
-    def _renamed_message(self, number: int, message: int) -> int:
+    def _rename_message(self, number: int, message: int) -> int:
         key = (number, message)
         if key not in self._renamed_messages:
             target, content = self._messages[message]
-            names = NAMES[number]
+            names = VOTER_RENAMINGS[number]
             if isinstance(content, Accepted):
                 content = replace(content, voter=names[content.voter])
-            renamed = self._number([Send(names.get(target, target), content)])
+            renamed = self._add_messages([Send(names.get(target, target), content)])
             self._renamed_messages[key] = renamed[0]
         return self._renamed_messages[key]
 
-    def _renamed_process(self, number: int, at: int, state: int) -> int:
-        key = (number, at, state)
+    def _rename_process(self, number: int, index: int, state: int) -> int:
+        key = (number, index, state)
         found = self._renamed_processes.get(key)
         if found is None:
-            process = self._states[state].copied()
-            process.rename(NAMES[number])
-            found = self._renamed_processes[key] = self._keep(at, process)
+            process = self._processes[state].clone()
+            process.rename_voters(VOTER_RENAMINGS[number])
+            found = self._renamed_processes[key] = self._add_process(index, process)
         return found
 
-    # --- what must hold ---------------------------------------------------------------------------------
+    # --- invariants -------------------------------------------------------------------------------------
 
-    def _judge(self, state: _State) -> str:
+    def _check_state(self, state: _State) -> str:
         processes, messages = state
-        fault = self._judged.get(messages)
+        fault = self._checked_messages.get(messages)
         if fault is None:
-            fault = self._judged[messages] = self._judge_messages(messages)
-        return fault or self._judge_known(processes, messages)
+            fault = self._checked_messages[messages] = self._check_messages(messages)
+        return fault or self._check_known_headers(processes, messages)
 
-    def _chosen(self, messages: frozenset[int]) -> dict[int, set[Header]]:
-        """Values that a majority has accepted in one ballot, by what it answered."""
+    def _find_chosen(self, messages: frozenset[int]) -> dict[int, set[Header]]:
+        """Returns, by revision number, the values that a majority accepted in one ballot, by its answers."""
         values: dict[tuple[int, Ballot], set[Header]] = {}
         voters: dict[tuple[int, Ballot], set[str]] = {}
         for each in messages:
@@ -340,34 +355,34 @@
                 chosen.setdefault(key[0], set()).update(values.get(key, set()))
         return chosen
 
-    def _judge_messages(self, messages: frozenset[int]) -> str:
-        chosen = self._chosen(messages)
+    def _check_messages(self, messages: frozenset[int]) -> str:
+        chosen = self._find_chosen(messages)
         for number, values in chosen.items():
             if len(values) > 1:
                 return f"revision {number} has {len(values)} values"
             header = next(iter(values))
-            self.found.chosen.add((number, header.author))
+            self.result.chosen.add((number, header.author))
             parents = {digest_of(each) for each in chosen.get(number - 1, {None})}
             if number > 1 and (not chosen.get(number - 1) or header.parent not in parents):
                 return f"revision {number} is no child of the one before"
         return ""
 
-    def _judge_known(self, processes: tuple[int, ...], messages: frozenset[int]) -> str:
-        """Nobody takes for chosen what was not."""
+    def _check_known_headers(self, processes: tuple[int, ...], messages: frozenset[int]) -> str:
+        """Checks that no process holds a header as chosen that was not chosen."""
         chosen: dict[int, set[Header]] | None = None
         for state in processes:
-            process = self._states[state]
+            process = self._processes[state]
             ledger = process.memory if isinstance(process, VoterState) else process.ledger
             for header in ledger.headers:
                 if chosen is None:
-                    chosen = self._chosen(messages)
+                    chosen = self._find_chosen(messages)
                 if chosen.get(header.number) != {header}:
                     return f"revision {header.number} is taken for chosen and was not"
         return ""
 
 
 def get_search_bounds(states: int) -> tuple[Bounds, ...]:
-    """What `ladderhub lab check ballots` searches, each up to so many states."""
+    """Returns the bounds of the searches of `ladderhub lab check ballots`, each with this limit of states."""
     return (
         Bounds(1, (1, 1), 1, states), Bounds(1, (2, 1), 0, states), Bounds(1, (2, 1), 1, states),
         Bounds(2, (2, 1), 0, states),
@@ -375,18 +390,18 @@
 
 
 def check_exhaustively(bounds: Bounds | None = None, classes: CheckedClasses | None = None) -> SearchResult:
-    """Every schedule within the bounds; stops at the first that breaks."""
+    """Searches every schedule within the bounds; stops at the first violation."""
     return Search(bounds or Bounds(), classes or CheckedClasses()).run()
 
 
 def check_randomly(
     walks: int, seed: int, bounds: Bounds | None = None, classes: CheckedClasses | None = None
 ) -> SearchResult:
-    """Schedules drawn from a seed, within wider bounds; stops at the first that breaks."""
+    """Runs random schedules drawn from a seed, within wider bounds; stops at the first violation."""
     search = Search(bounds or Bounds(3, (6, 6), 2), classes or CheckedClasses())
-    rng, begun = random.Random(seed), time.perf_counter()
-    while search.found.walks < walks and not search.found.violation:
-        search.found.walks += 1
-        search.walk(rng)
-    search.found.seconds = time.perf_counter() - begun
-    return search.found
+    rng, started_s = random.Random(seed), time.perf_counter()
+    while search.result.walks < walks and not search.result.violation:
+        search.result.walks += 1
+        search.run_random_walk(rng)
+    search.result.seconds = time.perf_counter() - started_s
+    return search.result
--- a/ladderhub/lab/emulator/__init__.py
+++ b/ladderhub/lab/emulator/__init__.py
@@ -1,6 +1,7 @@
-"""The pure modules of many schedulers in simulated time: hundreds to a thousand of them in one process.
+"""Discrete-event simulation of the pure modules of hundreds to a thousand schedulers in one process.
 
-`net` is the time and the network with its faults, `membership` a fleet, `day` a fault day of `lab.mesh`,
-`placement` the placing of jobs over many nodes.
-Imports the decision packages and `peers.wire` (for sizes); no sockets, no clock, all chance from a seed.
+`net` simulates time and a faulty network, `membership` a fleet of members, `day` a fault day of `lab.mesh`,
+`revisions` changes of the configuration (with `revision_judge`), and `placement` the placing of jobs over
+many nodes.  The package imports the decision packages and `peers.wire` (for message sizes).  It uses no
+sockets and no clock, and all random draws come from a seed.
 """
--- a/ladderhub/lab/emulator/net.py
+++ b/ladderhub/lab/emulator/net.py
@@ -1,4 +1,4 @@
-"""Simulated time, and a network that loses, doubles, delays and cuts.  Hosts may pause and die."""
+"""Simulated time, and a network that loses, duplicates, delays and cuts off messages between hosts."""
 
 from __future__ import annotations
 
@@ -8,25 +8,28 @@
 from dataclasses import dataclass
 from typing import Any
 
-MS, S = 1_000_000, 1_000_000_000
+MS, S = 1_000_000, 1_000_000_000  # nanoseconds
 
 
 @dataclass(slots=True)
 class Faults:
-    """Of every message, unless `cut` has it: shares lost and doubled, and the span of its delay."""
+    """Faults of the network: the shares of messages lost and duplicated, and the range of their delay.
+
+    `cut(source, target)`: whether all messages from the one address to the other are lost."""
 
     loss: float = 0.0
-    doubled: float = 0.0
+    duplicated: float = 0.0
     delay_ns: tuple[int, int] = (MS // 2, 5 * MS)
     cut: Callable[[str, str], bool] | None = None
 
 
 class Net:
-    """A queue of calls by time, and messages between addresses.
+    """An event queue in simulated time, and message delivery between addresses.
 
-    A paused host's messages wait as in a socket's buffer, at most `BUFFER`, and its calls are late."""
+    While a host is paused, its messages wait as in a socket's buffer, up to `MAX_BUFFERED_MESSAGES`, and its
+    own calls wait until it resumes."""
 
-    BUFFER = 200
+    MAX_BUFFERED_MESSAGES = 200
 
     def __init__(self, seed: int, faults: Faults | None = None) -> None:
         self.now = 1_000_000 * S
@@ -34,25 +37,25 @@
         self.faults = faults or Faults()
         self.sent = self.sent_bytes = 0
         self._queue: list[tuple[int, int, Callable[..., object], tuple[Any, ...]]] = []
-        self._count = 0
+        self._sequence = 0
         self._hosts: dict[str, Callable[[Any], None]] = {}
         self._paused: dict[str, list[tuple[Callable[..., object], tuple[Any, ...]]]] = {}
 
-    def call_at(self, when: int, call: Callable[..., object], *args: Any) -> None:
-        self._count += 1
-        heapq.heappush(self._queue, (when, self._count, call, args))
+    def call_at(self, at_ns: int, call: Callable[..., object], *args: Any) -> None:
+        self._sequence += 1
+        heapq.heappush(self._queue, (at_ns, self._sequence, call, args))
 
-    def run(self, until: int) -> None:
+    def run(self, until_ns: int) -> None:
         queue = self._queue
-        while queue and queue[0][0] <= until:
+        while queue and queue[0][0] <= until_ns:
             self.now, _, call, args = heapq.heappop(queue)
             call(*args)
-        self.now = until
+        self.now = until_ns
 
     # --- hosts ------------------------------------------------------------------------------------------
 
     def open(self, address: str, receive: Callable[[Any], None]) -> None:
-        """Whoever opens an address has it from now on."""
+        """Registers the receiver of an address and replaces an earlier one."""
         self._hosts[address] = receive
         self._paused.pop(address, None)
 
@@ -64,12 +67,12 @@
     def pause(self, address: str) -> None:
         self._paused.setdefault(address, [])
 
-    def go_on(self, address: str) -> None:
+    def resume(self, address: str) -> None:
         for call, args in self._paused.pop(address, []):
             call(*args)
 
-    def on(self, address: str, call: Callable[..., object], *args: Any) -> None:
-        """A call of the host's own: late where it is paused."""
+    def call_on_host(self, address: str, call: Callable[..., object], *args: Any) -> None:
+        """Runs a call of the host itself, or queues it while the host is paused."""
         waiting = self._paused.get(address)
         if waiting is None:
             call(*args)
@@ -81,19 +84,19 @@
     def send(self, source: str, target: str, message: Any, size: int) -> None:
         self.sent += 1
         self.sent_bytes += size
-        faults, chance = self.faults, self.random.random
+        faults, draw = self.faults, self.random.random
         if faults.cut is not None and faults.cut(source, target):
             return
-        for _ in range(2 if faults.doubled and chance() < faults.doubled else 1):
-            if faults.loss and chance() < faults.loss:
+        for _ in range(2 if faults.duplicated and draw() < faults.duplicated else 1):
+            if faults.loss and draw() < faults.loss:
                 continue
-            low, high = faults.delay_ns
-            self.call_at(self.now + low + int((high - low) * chance()), self._arrive, target, message)
+            least, most = faults.delay_ns
+            self.call_at(self.now + least + int((most - least) * draw()), self._arrive, target, message)
 
     def _arrive(self, target: str, message: Any) -> None:
         waiting = self._paused.get(target)
         if waiting is not None:
-            if len(waiting) < self.BUFFER:
+            if len(waiting) < self.MAX_BUFFERED_MESSAGES:
                 waiting.append((self._arrive, (target, message)))
             return
         receive = self._hosts.get(target)
--- a/ladderhub/lab/mesh/changes.py
+++ b/ladderhub/lab/mesh/changes.py
@@ -120,9 +120,9 @@
 
     def execute_step(self, step: Step) -> None:
         if step.what == "change":
-            self._change(step.who, bool(step.value))
+            self._change(step.slot, bool(step.value))
         elif step.what == "forget":
-            (self.folder / self.name_of(step.who) / RECORD).unlink()
+            (self.folder / self.name_of(step.slot) / RECORD).unlink()
         else:
             super().execute_step(step)
 
--- a/ladderhub/lab/mesh/days.py
+++ b/ladderhub/lab/mesh/days.py
@@ -31,7 +31,7 @@
 
     at_s: float
     what: str
-    who: int = -1
+    slot: int = -1
     value: Any = None
 
 
@@ -43,7 +43,7 @@
     description: str
     steps: list[Step]
     last_s: float  # of the last fault
-    may_go: Allowed = field(default=lambda observer, subject: False)
+    may_report_gone: Allowed = field(default=lambda observer, subject: False)
     can_run_processes: bool = True  # can be played with real processes
     out: frozenset[int] = frozenset()  # slots that are not in at the end though their process lives
     load: float = 0.0  # jobs a second, submitted over the whole day
@@ -85,7 +85,7 @@
 
 
 def _loss(count: int, rng: random.Random) -> Day:
-    bad = Faults(loss=0.3, doubled=0.1, delay_ns=(MS, 500 * MS))
+    bad = Faults(loss=0.3, duplicated=0.1, delay_ns=(MS, 500 * MS))
     burst = Faults(loss=1.0)
     steps = [Step(0.5, "net", value=bad)]
     for at in (4.0, 8.0, 12.0):
@@ -223,7 +223,7 @@
     days = [make(count, rng) for make in chosen]
     steps = sorted((step for day in days for step in day.steps), key=lambda step: step.at_s)
     # A pause, a cut or loss together bear less than each alone: whoever is touched may be told gone.
-    touched = {step.who for step in steps if step.what in ("pause", "kill")}
+    touched = {step.slot for step in steps if step.what in ("pause", "kill")}
     netted = any(step.what in ("cut", "net") for step in steps)
     rule: Allowed = lambda observer, subject: netted or subject in touched  # noqa: E731
     last = max(day.last_s for day in days)
--- a/ladderhub/lab/mesh/fleet.py
+++ b/ladderhub/lab/mesh/fleet.py
@@ -164,7 +164,7 @@
         return judge(self.rows, day, self.count, self.window_s)
 
     def execute_step(self, step: Step) -> None:
-        who, relay = step.who, self.relay
+        who, relay = step.slot, self.relay
         if step.what == "start":
             self._start(who)
         elif step.what == "kill":
--- a/ladderhub/lab/mesh/judge.py
+++ b/ladderhub/lab/mesh/judge.py
@@ -184,5 +184,5 @@
     subject = next((slot for slot, lives in replay.living.items() if lives == member), None)
     if subject is None or subject in day.out:
         return
-    if not day.may_go(row["slot"], subject):
+    if not day.may_report_gone(row["slot"], subject):
         verdict.false_gone.append(f"slot {row['slot']} says {member[0]} is {row['change']}: {row['cause']}")
--- a/ladderhub/lab/mesh/relay.py
+++ b/ladderhub/lab/mesh/relay.py
@@ -51,7 +51,7 @@
         if (sender, target) in self.cut:
             self.lost += 1
             return
-        for _ in range(2 if chance() < faults.doubled else 1):
+        for _ in range(2 if chance() < faults.duplicated else 1):
             if chance() < faults.loss:
                 self.lost += 1
                 continue
--- a/tests/revision/test_ballots.py
+++ b/tests/revision/test_ballots.py
@@ -106,12 +106,12 @@
     CheckedClasses(ledger=ForgetsPromises), CheckedClasses(ledger=ForgetsAcceptances),
     CheckedClasses(voter=AnswersFirst), CheckedClasses(voter=AcceptsBelowItsPromise),
     CheckedClasses(voter=PromisesBelowItsPromise), CheckedClasses(voter=HidesAcceptances),
-    CheckedClasses(decision=KeepsItsOwnValue),
+    CheckedClasses(instance=KeepsItsOwnValue),
 ]  # fmt: skip
 
 
 def name_of(classes: CheckedClasses) -> str:
-    replaced = (classes.ledger, classes.voter, classes.decision)
+    replaced = (classes.ledger, classes.voter, classes.instance)
     return next(each.__name__ for each in replaced if each.__module__ == __name__)
 
 
@@ -126,7 +126,7 @@
 
 
 def test_a_proposer_that_takes_the_lowest_value_is_found() -> None:
-    classes = CheckedClasses(decision=TakesTheLowestValue)
+    classes = CheckedClasses(instance=TakesTheLowestValue)
     assert check_randomly(1_500, 2, Bounds(ballots=(3, 3)), classes).violation
 
 
