--- a/ladderhub/lab/emulator/day.py
+++ b/ladderhub/lab/emulator/day.py
@@ -50,7 +50,7 @@
         fleet.log.clear()
         for step in self.day.steps:
             net.call_at(started_ns + round(step.at_s * S), self.execute_step, step)
-        net.run(started_ns + round(self.day.last_s * S) + 100 * MS)
+        net.run(started_ns + round(self.day.last_fault_s * S) + 100 * MS)
         outcome = Outcome(self.day, reports=fleet.log)
         outcome.convergence_ns = fleet.settle(CONVERGENCE_LIMIT_NS)
         net.run(net.now + 10 * S)  # the views must stay equal
--- a/ladderhub/lab/mesh/__init__.py
+++ b/ladderhub/lab/mesh/__init__.py
@@ -1,7 +1,7 @@
-"""Real scheduler processes with a faulty network between them, and the days that are played on it.
+"""Runs fault days on real scheduler processes with a faulty network between them.
 
-`days` are scripts (also played in simulated time by `lab.emulator`); `relay` stands before each scheduler's
-peer address; `fleet` runs the processes; `judge` reads the recording alone.  On the scripts of `change_days`
-the configuration changes: `changes` plays them, `revision_judge` judges them by the recording, with `reach`
-for who could reach whom, and `hollow` puts hollow schedulers beside the real ones.
+`days` holds the scripts, which `lab.emulator` also runs in simulated time.  `relay` proxies each scheduler's
+peer address, `fleet` runs the processes, and `judge` checks a run from its recording alone.  The scripts in
+`change_days` also change the configuration: `changes` runs them, `revision_judge` checks them from the
+recording, `reach` computes which schedulers could reach each other, and `hollow` adds hollow schedulers.
 """
--- a/ladderhub/lab/mesh/change_days.py
+++ b/ladderhub/lab/mesh/change_days.py
@@ -1,4 +1,4 @@
-"""Days on which the configuration changes, amid faults.  Steps are as in `days`; chance is from a seed."""
+"""Fault days with changes of the configuration.  Steps are as in `days`, drawn from a seed."""
 
 from __future__ import annotations
 
@@ -6,37 +6,38 @@
 from collections.abc import Callable
 
 from ladderhub.lab.emulator.net import MS, Faults
-from ladderhub.lab.mesh.days import Day, Step, between
+from ladderhub.lab.mesh.days import Day, Step, get_pairs_between
 
 CHANGES_S = 60
-CHANGES_AT_ONCE = 10
-NOBODY = -1  # the slot of senders that have none: hollow schedulers stand on the left
+BURST_CHANGES = 10
+NO_SLOT = -1  # of senders without a slot: hollow schedulers, which are on the left side of a cut
 
 
-def _changes(count: int, rng: random.Random) -> Day:
-    """A change a second for a minute.  The voters are the first slots, a majority of them on the left.
+def _build_changes(count: int, rng: random.Random) -> Day:
+    """Builds a day with one change a second for a minute.
 
-    One is started anew at once, one without its record, and one comes back from an old record."""
+    The voters are the first slots; a majority of them is on the left side of the cut.  One scheduler is
+    restarted soon after a kill, one is restarted without its record, and one late with an old record."""
     voters = min(5, count) - (min(5, count) + 1) % 2
     left = [*range(voters // 2 + 1), *range(voters, voters + (count - voters) // 2)]
     right = [slot for slot in range(count) if slot not in left]
     killed, paused = rng.sample(range(count), 2)
     deaf, mute = rng.sample(range(count), 2)
-    old = rng.choice(right)
-    forgetful = rng.choice([slot for slot in range(count) if slot != old])
-    bad = Faults(loss=0.1, delay_ns=(MS // 2, 20 * MS))
+    restarted_late = rng.choice(right)
+    record_loser = rng.choice([slot for slot in range(count) if slot != restarted_late])
+    faults = Faults(loss=0.1, delay_ns=(MS // 2, 20 * MS))
     steps = [
-        Step(0.1, "net", value=bad), Step(8, "kill", killed), Step(9.5, "start", killed),
+        Step(0.1, "net", value=faults), Step(8, "kill", killed), Step(9.5, "start", killed),
         Step(15, "pause", paused), Step(20, "go_on", paused),
-        Step(22, "kill", forgetful), Step(22.5, "forget", forgetful), Step(23.5, "start", forgetful),
-        Step(27, "kill", old), Step(45, "start", old),
+        Step(22, "kill", record_loser), Step(22.5, "forget", record_loser), Step(23.5, "start", record_loser),
+        Step(27, "kill", restarted_late), Step(45, "start", restarted_late),
         Step(24, "cut", value=frozenset({(mute, deaf)})), Step(30, "cut", value=frozenset()),
-        Step(33, "cut", value=between([*left, NOBODY], right)), Step(42, "cut", value=frozenset()),
+        Step(33, "cut", value=get_pairs_between([*left, NO_SLOT], right)), Step(42, "cut", value=frozenset()),
     ]  # fmt: skip
-    steps += [Step(at, "change", rng.randrange(count)) for at in range(1, CHANGES_S + 1)]
+    steps += [Step(at_s, "change", rng.randrange(count)) for at_s in range(1, CHANGES_S + 1)]
     steps += [Step(46.5, "change", slot, True) for slot in rng.sample(range(count), 2)]
-    at_once = (52.45 + at / CHANGES_AT_ONCE for at in range(CHANGES_AT_ONCE))
-    steps += [Step(at, "change", rng.randrange(count)) for at in at_once]
+    burst_s = (52.45 + index / BURST_CHANGES for index in range(BURST_CHANGES))
+    steps += [Step(at_s, "change", rng.randrange(count)) for at_s in burst_s]
     steps.append(Step(CHANGES_S + 1, "net"))
     return Day(
         "changes", "a change of configuration each second amid faults", steps, CHANGES_S + 1,
@@ -44,8 +45,8 @@
     )  # fmt: skip
 
 
-def _few_changes(count: int, rng: random.Random) -> Day:
-    """The same in small: a dozen seconds, for three to five."""
+def _build_few_changes(count: int, rng: random.Random) -> Day:
+    """Builds a short day of 11 seconds for three to five schedulers."""
     killed, paused = rng.sample(range(1, count), 2)
     steps = [
         Step(0.1, "net", value=Faults(loss=0.1, delay_ns=(MS // 2, 20 * MS))),
@@ -53,7 +54,7 @@
         Step(6, "pause", paused), Step(10, "go_on", paused), Step(11, "net"),
     ]  # fmt: skip
     awake = [slot for slot in range(count) if slot != paused]
-    steps += [Step(at, "change", rng.choice(awake)) for at in (0.5, 1.5, 5, 6.5, 8)]
+    steps += [Step(at_s, "change", rng.choice(awake)) for at_s in (0.5, 1.5, 5, 6.5, 8)]
     steps += [Step(4.3, "change", slot, True) for slot in rng.sample(range(count), 2)]
     return Day(
         "few-changes", "changes of configuration amid a kill, a pause and loss", steps, 11,
@@ -62,13 +63,13 @@
 
 
 CHANGE_DAYS: dict[str, Callable[[int, random.Random], Day]] = {
-    "changes": _changes, "few-changes": _few_changes,
+    "changes": _build_changes, "few-changes": _build_few_changes,
 }  # fmt: skip
-LEAST_SCHEDULERS = 3
+MIN_SCHEDULERS = 3
 
 
 def draw_change_day(name: str, count: int, seed: int) -> Day:
-    """The day of this name for so many schedulers; ValueError where there is none for so few."""
-    if count < LEAST_SCHEDULERS:
-        raise ValueError(f"schedulers: found {count}; at least {LEAST_SCHEDULERS} are meant for {name}")
+    """Builds the day with this name for `count` schedulers; raises ValueError if these are too few."""
+    if count < MIN_SCHEDULERS:
+        raise ValueError(f"schedulers: found {count}; at least {MIN_SCHEDULERS} are meant for {name}")
     return CHANGE_DAYS[name](count, random.Random(f"{name}/{seed}"))
--- a/ladderhub/lab/mesh/hollow.py
+++ b/ladderhub/lab/mesh/hollow.py
@@ -1,4 +1,4 @@
-"""Hollow schedulers beside the real ones of a mesh, in processes of their own."""
+"""Runs hollow schedulers in separate processes, next to the real schedulers of a mesh."""
 
 from __future__ import annotations
 
@@ -13,46 +13,47 @@
 from ladderhub.lab.process import module
 from ladderhub.lab.scale.hollow_schedulers import HollowPlan, HollowResult
 
-PREFIX = "hollow"
-IN_A_PROCESS = 60  # one process keeps up with so many
-END_NS = 15 * S
+NAME_PREFIX = "hollow"
+SCHEDULERS_PER_PROCESS = 60  # the most that one process can keep up with
+STOP_TIMEOUT_NS = 15 * S
 
 
 class HollowPeers:
-    """So many hollow schedulers; `end` gives the lowest revision that any of them acts by."""
+    """A number of hollow schedulers; `stop` returns the lowest revision active on any of them."""
 
     def __init__(self, fleet: Fleet, folder: Path, count: int) -> None:
         self._fleet, self._folder, self.count = fleet, folder, count
         self._processes: list[subprocess.Popen[bytes]] = []
-        self._outs: list[Path] = []
+        self._result_files: list[Path] = []
 
     def start(self, cluster: str, seeds: list[str], voters: list[str], slots: int, seed: int) -> None:
-        for first in range(0, self.count, IN_A_PROCESS):
-            number = min(IN_A_PROCESS, self.count - first)
+        for first in range(0, self.count, SCHEDULERS_PER_PROCESS):
+            number = min(SCHEDULERS_PER_PROCESS, self.count - first)
             plan = HollowPlan(
                 cluster, seeds, voters, number, "1s", "8s", slots, seed * 10_000 + first,
-                prefix=f"{PREFIX}{first}-",
+                prefix=f"{NAME_PREFIX}{first}-",
             )  # fmt: skip
-            file, out = self._folder / f"hollow-{first}.json", self._folder / f"hollow-{first}.out"
+            file, result_file = self._folder / f"hollow-{first}.json", self._folder / f"hollow-{first}.out"
             file.write_bytes(msgspec.json.encode(plan))
-            argv = module("ladderhub.lab.scale.hollow_schedulers", str(file), str(out))
+            argv = module("ladderhub.lab.scale.hollow_schedulers", str(file), str(result_file))
             with open(self._folder / f"hollow-{first}.log", "wb") as log:
                 self._processes.append(
                     self._fleet.loop.spawn(argv, lambda status: None, stdout=log, stderr=log)
                 )
-            self._outs.append(out)
+            self._result_files.append(result_file)
 
-    def end(self) -> int:
-        """End the processes; 0 where one of them left no result."""
+    def stop(self) -> int:
+        """Stops the processes and returns their lowest active revision, or 0 if one left no result."""
         self._signal(signal.SIGTERM)
-        over = self._fleet.run_until(
-            lambda: all(process.poll() is not None for process in self._processes), END_NS
+        have_all_ended = self._fleet.run_until(
+            lambda: all(process.poll() is not None for process in self._processes), STOP_TIMEOUT_NS
         )
-        if not over or not all(out.exists() for out in self._outs):
+        if not have_all_ended or not all(result_file.exists() for result_file in self._result_files):
             self._signal(signal.SIGKILL)
             return 0
         results: list[HollowResult] = [
-            msgspec.json.decode(out.read_bytes(), type=HollowResult) for out in self._outs
+            msgspec.json.decode(result_file.read_bytes(), type=HollowResult)
+            for result_file in self._result_files
         ]
         return min((result.revision_least for result in results), default=0)
 
--- a/ladderhub/lab/mesh/judge.py
+++ b/ladderhub/lab/mesh/judge.py
@@ -1,9 +1,13 @@
-"""Judges views from the recording of a mesh day alone: what was done, and what each process logged.
+"""Judges the views of members from the recording of a mesh day: the faults injected and the processes' logs.
 
-A recording is JSON lines with `at` (seconds, wall clock) and `what`: `began` and `over` (slot and name of a
-process), `life` (the number that the process in a slot took), `day` (all views were equal, the faults begin),
-`settled` (the last fault is over), `told` (slot, change, member, life, cause), `seats` (slot, `slots` of the
-cold budget that may be used from now on, until_ns), `trouble` (slot, text)."""
+A recording is JSON lines with `at` (wall clock in seconds) and `what`:
+- `began` and `over`: a process started or ended (slot, name).
+- `life`: the life number of the process in a slot.
+- `day`: all views are equal and the faults begin.
+- `settled`: the last fault is over.
+- `told`: a reported membership change (slot, change, member, life, cause).
+- `seats`: leased slots of the cold budget, usable from now on (slot, `slots`, until_ns).
+- `trouble`: an error in a log (slot, text)."""
 
 from __future__ import annotations
 
@@ -16,31 +20,36 @@
 
 from ladderhub.lab.mesh.days import Day
 
-EQUAL_S = 10.0  # after the last fault all views are equal within this
-GRACE_S = 0.5  # what was logged in the moment of a process's end speaks of it as over
+CONVERGENCE_LIMIT_S = 10.0  # after the last fault, all views must be equal within this time
+GRACE_S = 0.5  # logs from the moment of a process's end may treat it as over
 Row = dict[str, Any]
 
 
 @dataclass
 class Verdict:
+    """What a recording showed, and the violations in it."""
+
     false_gone: list[str] = field(default_factory=list)
-    unequal: list[str] = field(default_factory=list)
+    differing_views: list[str] = field(default_factory=list)
     troubles: list[str] = field(default_factory=list)
     doubly_held: list[str] = field(default_factory=list)
     leases_reported: int = 0
-    idle_share: float = 0.0  # share of seats and time, from the day's begin on, in which nobody could use one
-    equal_s: float = -1.0
-    told: int = 0
+    idle_share: float = 0.0  # share of seats and time, from the start of the day, without a holder
+    convergence_s: float = -1.0
+    report_count: int = 0
 
     def is_good(self) -> bool:
-        return not (self.false_gone or self.unequal or self.troubles or self.doubly_held)
+        return not (self.false_gone or self.differing_views or self.troubles or self.doubly_held)
 
     def lines(self) -> Iterator[str]:
-        yield f"{self.told} changes told; living members told gone beyond the rule: {len(self.false_gone)}"
+        yield (
+            f"{self.report_count} changes told; "
+            f"living members told gone beyond the rule: {len(self.false_gone)}"
+        )
         yield from self.false_gone[:5]
-        if not self.unequal:
-            yield f"views equal {self.equal_s:.1f} s after the last fault"
-        yield from self.unequal[:5]
+        if not self.differing_views:
+            yield f"views equal {self.convergence_s:.1f} s after the last fault"
+        yield from self.differing_views[:5]
         if self.leases_reported:
             idle = 100 * self.idle_share
             twice = len(self.doubly_held)
@@ -54,13 +63,13 @@
 
 
 class Replay:
-    """Who lives, and what each living process has in its view, as a recording goes on."""
+    """Tracks, row by row of a recording, the living processes and the view of each."""
 
     def __init__(self) -> None:
-        self.living: dict[int, tuple[str, int]] = {}  # slot -> name and life, 0 before it is known
+        self.living: dict[int, tuple[str, int]] = {}  # slot -> name and life; life 0: not yet known
         self.views: dict[int, set[tuple[str, int]]] = {}
 
-    def take(self, row: Row) -> None:
+    def apply(self, row: Row) -> None:
         slot = row.get("slot", -1)
         if row["what"] == "began":
             self.living[slot] = (row["name"], 0)
@@ -78,111 +87,116 @@
             elif row["change"] in ("gone", "left"):
                 self.views[slot].discard(member)
 
-    def otherwise(self, out: frozenset[int] = frozenset()) -> list[str]:
-        """Whose view is not exactly who lives."""
-        truth = {member for slot, member in self.living.items() if slot not in out}
+    def find_differing_views(self, excluded: frozenset[int] = frozenset()) -> list[str]:
+        """Describes each view that is not exactly the set of living processes."""
+        truth = {member for slot, member in self.living.items() if slot not in excluded}
         return [
             f"slot {slot} ({name}) has otherwise: {sorted(self.views[slot] ^ truth)}"
             for slot, (name, _) in sorted(self.living.items())
-            if slot not in out and self.views[slot] != truth
+            if slot not in excluded and self.views[slot] != truth
         ]
 
 
 @dataclass(frozen=True, slots=True)
-class _Use:
-    """One process could use one seat from then to then."""
+class _LeaseUse:
+    """A span of time in which one process could use one seat."""
 
     seat: int
     begun: float
     ended: float
     slot: int
-    birth: int
+    life_count: int
 
 
-def find_lease_uses(rows: list[Row]) -> list[_Use]:
-    """Each process's spans of each seat: until it is told otherwise, the lease runs out, or it is over."""
-    found: list[_Use] = []
-    now: dict[int, tuple[dict[int, float], float]] = {}  # slot -> seats with their begin, and until when
-    births: dict[int, int] = {}
+def find_lease_uses(rows: list[Row]) -> list[_LeaseUse]:
+    """Returns each process's uses of each seat, which end with a new grant, the lease or the process."""
+    found: list[_LeaseUse] = []
+    open_uses: dict[int, tuple[dict[int, float], float]] = {}  # slot -> start of each seat, and expiry
+    life_counts: dict[int, int] = {}
 
     def end(slot: int, at: float, kept: set[int]) -> None:
-        seats, until = now.get(slot, ({}, 0.0))
+        seats, until = open_uses.get(slot, ({}, 0.0))
         stop = min(at, until)
         for seat in [each for each in seats if each not in kept or until < at]:
-            found.append(_Use(seat, seats.pop(seat), stop, slot, births[slot]))
+            found.append(_LeaseUse(seat, seats.pop(seat), stop, slot, life_counts[slot]))
 
     for row in sorted(rows, key=lambda each: float(each["at"])):
         at, slot = float(row["at"]), row.get("slot", -1)
         if row["what"] in ("began", "over"):
             end(slot, at, set())
-            now.pop(slot, None)
-            births[slot] = births.get(slot, 0) + (row["what"] == "began")
-        elif row["what"] == "seats" and slot in births:
+            open_uses.pop(slot, None)
+            life_counts[slot] = life_counts.get(slot, 0) + (row["what"] == "began")
+        elif row["what"] == "seats" and slot in life_counts:
             wanted = set(row["slots"])
             end(slot, at, wanted)
-            held = now.get(slot, ({}, 0.0))[0]
-            now[slot] = (held | {seat: at for seat in wanted if seat not in held}, row["until_ns"] / 1e9)
-    last = max((float(row["at"]) for row in rows), default=0.0)
-    for slot in list(now):
-        end(slot, last, set())
+            held = open_uses.get(slot, ({}, 0.0))[0]
+            open_uses[slot] = (
+                held | {seat: at for seat in wanted if seat not in held},
+                row["until_ns"] / 1e9,
+            )
+    last_at = max((float(row["at"]) for row in rows), default=0.0)
+    for slot in list(open_uses):
+        end(slot, last_at, set())
     return found
 
 
 def check_leases(verdict: Verdict, rows: list[Row], window_s: float, count: int) -> None:
-    """No seat has two holders within a window: the node still counts what the last one sent."""
+    """Checks that no seat has two holders within a window.
+
+    Within the window, nodes still count the offers of the previous holder."""
     spans = sorted(find_lease_uses(rows), key=lambda use: (use.seat, use.begun))
     verdict.leases_reported = sum(row["what"] == "seats" for row in rows)
-    for before, after in pairwise(spans):
-        same = (before.slot, before.birth) == (after.slot, after.birth)
-        if before.seat == after.seat and not same and after.begun - before.ended < window_s:
-            first = f"slot {before.slot} until {before.ended:.2f}"
-            second = f"slot {after.slot} from {after.begun:.2f}"
-            verdict.doubly_held.append(f"seat {after.seat}: {first}, {second}")
-    begun = next((float(row["at"]) for row in rows if row["what"] == "day"), 0.0)
-    last = max(float(row["at"]) for row in rows)
-    used = sum(max(0.0, use.ended - max(begun, use.begun)) for use in spans)
-    verdict.idle_share = 1 - used / (count * (last - begun)) if last > begun else 0.0
+    for earlier, later in pairwise(spans):
+        is_same_process = (earlier.slot, earlier.life_count) == (later.slot, later.life_count)
+        if earlier.seat == later.seat and not is_same_process and later.begun - earlier.ended < window_s:
+            first_use = f"slot {earlier.slot} until {earlier.ended:.2f}"
+            second_use = f"slot {later.slot} from {later.begun:.2f}"
+            verdict.doubly_held.append(f"seat {later.seat}: {first_use}, {second_use}")
+    began_at = next((float(row["at"]) for row in rows if row["what"] == "day"), 0.0)
+    last_at = max(float(row["at"]) for row in rows)
+    used = sum(max(0.0, use.ended - max(began_at, use.begun)) for use in spans)
+    verdict.idle_share = 1 - used / (count * (last_at - began_at)) if last_at > began_at else 0.0
 
 
 def judge(rows: list[Row], day: Day, seats: int = 0, window_s: float = 0.0) -> Verdict:
-    """Replay a recording; rows may come in any order.  `seats`: how many there are, 0 if none are dealt."""
+    """Judges a recording, with rows in any order.  `seats`: the number of leased seats; 0 for no leases."""
     verdict, replay = Verdict(), Replay()
     if seats:
         check_leases(verdict, rows, window_s, seats)
-    ended: dict[tuple[str, int], float] = {}
-    begun, settled, since = False, -1.0, -1.0
+    ended_at: dict[tuple[str, int], float] = {}
+    has_begun, settled_at, equal_since = False, -1.0, -1.0
     for row in sorted(rows, key=lambda each: float(each["at"])):
         at, what = float(row["at"]), row["what"]
         if what == "over" and row["slot"] in replay.living:
-            ended[replay.living[row["slot"]]] = at
+            ended_at[replay.living[row["slot"]]] = at
         elif what == "day":
-            begun = True
+            has_begun = True
         elif what == "settled":
-            settled = at
+            settled_at = at
         elif what == "trouble":
             verdict.troubles.append(f"slot {row['slot']}: {row['text']}")
-        elif what == "told" and begun:
-            verdict.told += 1
+        elif what == "told" and has_begun:
+            verdict.report_count += 1
             if row["change"] in ("gone", "left"):
-                _check(verdict, replay, row, day)
-        replay.take(row)
-        if settled >= 0:
-            equal = not replay.otherwise(day.out)
-            since = (at if since < 0 else since) if equal else -1.0
-    verdict.unequal = replay.otherwise(day.out)
-    if settled < 0:
-        verdict.unequal.append("the recording ends before the last fault is over")
-    elif not verdict.unequal:
-        verdict.equal_s = max(0.0, since - settled)
-        if verdict.equal_s > EQUAL_S:
-            verdict.unequal.append(f"equal only {verdict.equal_s:.1f} s after the last fault")
+                _check_gone_report(verdict, replay, row, day)
+        replay.apply(row)
+        if settled_at >= 0:
+            is_equal = not replay.find_differing_views(day.excluded)
+            equal_since = (at if equal_since < 0 else equal_since) if is_equal else -1.0
+    verdict.differing_views = replay.find_differing_views(day.excluded)
+    if settled_at < 0:
+        verdict.differing_views.append("the recording ends before the last fault is over")
+    elif not verdict.differing_views:
+        verdict.convergence_s = max(0.0, equal_since - settled_at)
+        if verdict.convergence_s > CONVERGENCE_LIMIT_S:
+            verdict.differing_views.append(f"equal only {verdict.convergence_s:.1f} s after the last fault")
     return verdict
 
 
-def _check(verdict: Verdict, replay: Replay, row: Row, day: Day) -> None:
+def _check_gone_report(verdict: Verdict, replay: Replay, row: Row, day: Day) -> None:
     member = (row["member"], row["life"])
     subject = next((slot for slot, lives in replay.living.items() if lives == member), None)
-    if subject is None or subject in day.out:
+    if subject is None or subject in day.excluded:
         return
     if not day.may_report_gone(row["slot"], subject):
         verdict.false_gone.append(f"slot {row['slot']} says {member[0]} is {row['change']}: {row['cause']}")
--- a/ladderhub/lab/mesh/reach.py
+++ b/ladderhub/lab/mesh/reach.py
@@ -1,4 +1,4 @@
-"""Who could reach whom at a moment of a mesh day, from the recording alone."""
+"""Computes from the recording of a mesh day which schedulers could reach each other at a time."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 Row = dict[str, Any]
 
 
-class Reach:
-    """Which processes live and are connected, both ways, with a majority of the voters; and since when.
+class Reachability:
+    """Tracks which running processes are connected, in both directions, with a majority of the voters.
 
-    `voters`: the slots below this number hold the voters."""
+    `voters`: the number of voters, which are in the first slots."""
 
     def __init__(self, voters: int) -> None:
         self.voters = voters
-        self.since: dict[int, float] = {}  # slots that are reachable, since when
+        self.reachable_since: dict[int, float] = {}  # slots that are reachable now
         self._alive: set[int] = set()
         self._paused: set[int] = set()
         self._cut: set[tuple[int, int]] = set()
 
-    def take(self, row: Row) -> None:
+    def apply(self, row: Row) -> None:
         what, slot = row["what"], row.get("slot", -1)
         if what == "life":
             self._alive.add(slot)
@@ -34,31 +34,31 @@
             self._cut = {(a, b) for a, b in row["pairs"]}
         else:
             return
-        self._look(float(row["at"]))
+        self._update(float(row["at"]))
 
-    def _look(self, at: float) -> None:
-        component = self._of_majority()
-        self.since = {slot: self.since.get(slot, at) for slot in component}
+    def _update(self, at_s: float) -> None:
+        component = self._find_majority_component()
+        self.reachable_since = {slot: self.reachable_since.get(slot, at_s) for slot in component}
 
-    def _of_majority(self) -> set[int]:
-        """The component that holds a majority of the voters, if any."""
-        left = self._alive - self._paused
-        while left:
-            component = self._component(min(left), left)
+    def _find_majority_component(self) -> set[int]:
+        """Returns the connected component with a majority of the voters, or an empty set."""
+        remaining = self._alive - self._paused
+        while remaining:
+            component = self._find_component(min(remaining), remaining)
             if sum(slot < self.voters for slot in component) > self.voters // 2:
                 return component
-            left = left - component
+            remaining = remaining - component
         return set()
 
-    def _component(self, first: int, slots: set[int]) -> set[int]:
-        found, edge = {first}, [first]
-        while edge:
-            here = edge.pop()
-            near = {
+    def _find_component(self, first: int, slots: set[int]) -> set[int]:
+        found, frontier = {first}, [first]
+        while frontier:
+            current = frontier.pop()
+            neighbours = {
                 slot
                 for slot in slots - found
-                if (here, slot) not in self._cut and (slot, here) not in self._cut
+                if (current, slot) not in self._cut and (slot, current) not in self._cut
             }
-            found |= near
-            edge += near
+            found |= neighbours
+            frontier += neighbours
         return found
--- a/tests/lab/test_mesh.py
+++ b/tests/lab/test_mesh.py
@@ -1,4 +1,4 @@
-"""Real schedulers that find each other, on one fault day; and the judge of views shown to fail."""
+"""A short fault day on real schedulers, and checks that the judge of views detects planted violations."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @pytest.fixture(scope="module")
 def recording(tmp_path_factory: pytest.TempPathFactory) -> list[Row]:
-    """Five processes: kills with a start within 100 ms, a pause, noise, a cut in one direction."""
+    """Five processes: kills with a restart within 100 ms, a pause, invalid datagrams, a one-way cut."""
     folder = tmp_path_factory.mktemp("mesh")
     steps = [
         *draw_day("restart", COUNT, 3).steps[:4], Step(1, "noise", 0), Step(1.5, "pause", 4),
@@ -31,8 +31,8 @@
     mesh = Mesh(loop, folder, COUNT, 3)
     try:
         mesh.start()
-        verdict = mesh.play(day)
-        assert mesh.relay.passed > 100
+        verdict = mesh.run_day_script(day)
+        assert mesh.relay.forwarded > 100
     finally:
         mesh.close()
         loop.close()
@@ -46,18 +46,18 @@
 def test_real_processes_find_each_other_and_keep_their_views_over_faults(recording: list[Row]) -> None:
     verdict = judge(recording, DAY, COUNT, 2.5)
     assert verdict.leases_reported > 10 and verdict.idle_share < 0.9
-    assert verdict.is_good() and 0 <= verdict.equal_s <= 10 and verdict.told > 10
+    assert verdict.is_good() and 0 <= verdict.convergence_s <= 10 and verdict.report_count > 10
     assert any(row["what"] == "told" and "woke" in row["change"] for row in recording)
 
 
-def doctored(recording: list[Row], kind: str) -> list[Row]:
+def build_tampered_rows(recording: list[Row], kind: str) -> list[Row]:
     rows = copy.deepcopy(recording)
     end = max(row["at"] for row in rows)
     lives = {row["slot"]: row["life"] for row in rows if row["what"] == "life"}
-    word = {"at": end, "what": "told", "slot": 1, "member": "sched2", "life": lives[2], "cause": "doctored"}
+    report = {"at": end, "what": "told", "slot": 1, "member": "sched2", "life": lives[2], "cause": "doctored"}
     if kind == "a living member told gone":
-        rows.append(word | {"change": "gone"})
-        rows.append(word | {"change": "alive", "at": end + 0.1})
+        rows.append(report | {"change": "gone"})
+        rows.append(report | {"change": "alive", "at": end + 0.1})
     elif kind == "one that is over kept":
         rows.append({"at": end, "what": "over", "slot": 3})
     elif kind == "one that lives missing":
@@ -70,17 +70,17 @@
         rows = [row for row in rows if row["what"] != "settled"]
     elif kind == "equal too late":
         settled = next(row for row in rows if row["what"] == "settled")
-        rows.append(word | {"change": "gone", "at": settled["at"] + 10.5, "life": 1})
-        rows.append(word | {"change": "alive", "at": settled["at"] + 10.6, "life": 1})
-        rows.append(word | {"change": "gone", "at": settled["at"] + 11.5, "life": 1})
+        rows.append(report | {"change": "gone", "at": settled["at"] + 10.5, "life": 1})
+        rows.append(report | {"change": "alive", "at": settled["at"] + 10.6, "life": 1})
+        rows.append(report | {"change": "gone", "at": settled["at"] + 11.5, "life": 1})
     elif kind in ("a seat with two holders", "a seat that did not rest"):
-        told = [row for row in rows if row["what"] == "seats" and row["slots"]]
-        seats = max(told, key=lambda row: row["at"])
-        until = seats["until_ns"] / 1e9
+        lease_rows = [row for row in rows if row["what"] == "seats" and row["slots"]]
+        seats = max(lease_rows, key=lambda row: row["at"])
+        expiry_s = seats["until_ns"] / 1e9
         other = next(slot for slot in lives if slot != seats["slot"])
-        at = seats["at"] + 0.1 if kind == "a seat with two holders" else until + 1
+        at = seats["at"] + 0.1 if kind == "a seat with two holders" else expiry_s + 1
         rows.append(seats | {"slot": other, "at": at, "until_ns": seats["until_ns"] + 9 * S})
-        rows.append({"at": until + 9, "what": "later"})
+        rows.append({"at": expiry_s + 9, "what": "later"})
     return rows
 
 
@@ -92,28 +92,28 @@
     ],
 )  # fmt: skip
 def test_the_judge_of_views_fails_on_a_doctored_recording(recording: list[Row], kind: str) -> None:
-    verdict = judge(doctored(recording, kind), DAY, COUNT, 2.5)
+    verdict = judge(build_tampered_rows(recording, kind), DAY, COUNT, 2.5)
     assert not verdict.is_good() and ("seat" not in kind or verdict.doubly_held)
 
 
 def test_the_relay_cuts_one_direction_of_one_pair_alone() -> None:
     loop = Loop()
-    got: dict[int, list[bytes]] = {0: [], 1: []}
+    received: dict[int, list[bytes]] = {0: [], 1: []}
     relay = Relay(loop, 1)
-    ends = {
-        0: Datagrams(loop, ("127.0.0.1", 0), lambda data, _: got[0].append(data)),
-        1: Datagrams(loop, ("127.0.0.1", 0), lambda data, _: got[1].append(data)),
+    endpoints = {
+        0: Datagrams(loop, ("127.0.0.1", 0), lambda data, _: received[0].append(data)),
+        1: Datagrams(loop, ("127.0.0.1", 0), lambda data, _: received[1].append(data)),
     }
-    for at, end in ends.items():
+    for at, end in endpoints.items():
         relay.add(at, end.address)
     relay.set_cut(frozenset({(0, 1)}))
-    until = loop.now_ns() + 5 * S
-    while not got[0] and loop.now_ns() < until:
-        ends[0].send(b"there", relay.public(1))
-        ends[1].send(b"back", relay.public(0))
+    deadline_ns = loop.now_ns() + 5 * S
+    while not received[0] and loop.now_ns() < deadline_ns:
+        endpoints[0].send(b"there", relay.get_public_address(1))
+        endpoints[1].send(b"back", relay.get_public_address(0))
         loop.turn(10_000_000)
-    assert got[0] and set(got[0]) == {b"back"} and not got[1] and relay.lost
+    assert received[0] and set(received[0]) == {b"back"} and not received[1] and relay.lost
     relay.close()
-    for end in ends.values():
+    for end in endpoints.values():
         end.close()
     loop.close()
