--- a/tests/hard_cases/test_clients.py
+++ b/tests/hard_cases/test_clients.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from ladderhub.loop.http import HttpDoor
+from ladderhub.loop.http import HttpServer
 from ladderhub.pbs import names as n
 from ladderhub.pbs.batch import Request, encode_request
-from ladderhub.pbs.dis import number, string
+from ladderhub.pbs.dis import encode_number, encode_string
 
 from tests.world import MS
 from tests.hard_cases.bed import WorldFactory, queue_job, send_raw
@@ -69,7 +69,7 @@
     # Guards against a parser that raises, waits forever, or buffers as much as a header announces.
     world = make_world(1)
     daemon = world.daemon()
-    http = HttpDoor(world.loop, ("127.0.0.1", 0), {"/metrics": daemon.metrics.render_page})
+    http = HttpServer(world.loop, ("127.0.0.1", 0), {"/metrics": daemon.metrics.render_page})
     rng = random.Random(11)
     ports = (
         world.public, world.agents["node-1"].listener.address, world.directory.address, http.listener.address
@@ -91,10 +91,17 @@
     world = make_world(1)
     world.daemon()
     target = world.public if port == "scheduler" else world.agents["node-1"].listener.address
-    head = number(2) + number(2) + number(n.JOB_SCRIPT) + string("x") + number(0) + number(0)
+    head = (
+        encode_number(2)
+        + encode_number(2)
+        + encode_number(n.JOB_SCRIPT)
+        + encode_string("x")
+        + encode_number(0)
+        + encode_number(0)
+    )
     with socket.create_connection(target) as sock:
         sock.settimeout(10)
-        sock.sendall(head + number(1 << 30))
+        sock.sendall(head + encode_number(1 << 30))
         world.run_for(200 * MS)
         answer = sock.recv(4096)
         assert b"Protocol error" in answer and b"at most" in answer
--- a/tests/lab/test_mesh.py
+++ b/tests/lab/test_mesh.py
@@ -111,7 +111,7 @@
     while not received[0] and loop.now_ns() < deadline_ns:
         endpoints[0].send(b"there", relay.get_public_address(1))
         endpoints[1].send(b"back", relay.get_public_address(0))
-        loop.turn(10_000_000)
+        loop.run_once(10_000_000)
     assert received[0] and set(received[0]) == {b"back"} and not received[1] and relay.lost
     relay.close()
     for end in endpoints.values():
