--- a/ladderhub/lab/mesh/days.py
+++ b/ladderhub/lab/mesh/days.py
@@ -57,13 +57,16 @@
 
 
 def get_all_pairs(slots: Iterable[int]) -> set[tuple[int, int]]:
-    names = list(slots)
-    return {(a, b) for a in names for b in names if a != b}
+    members = list(slots)
+    return {(slot, other) for slot in members for other in members if slot != other}
 
 
 def get_pairs_between(left: Iterable[int], right: Iterable[int]) -> Pairs:
-    one, two = list(left), list(right)
-    return frozenset({(a, b) for a in one for b in two} | {(b, a) for a in one for b in two})
+    left_slots, right_slots = list(left), list(right)
+    return frozenset(
+        {(slot, other) for slot in left_slots for other in right_slots}
+        | {(other, slot) for slot in left_slots for other in right_slots}
+    )
 
 
 def _build_pauses(count: int, rng: random.Random) -> Day:
@@ -102,16 +105,16 @@
 
 
 def _build_one_way_cut(count: int, rng: random.Random) -> Day:
-    a, b = rng.sample(range(count), 2)
-    steps = [Step(1, "cut", value=frozenset({(a, b)})), Step(14, "cut", value=frozenset())]
+    slot, other = rng.sample(range(count), 2)
+    steps = [Step(1, "cut", value=frozenset({(slot, other)})), Step(14, "cut", value=frozenset())]
     return Day("one-way", "one hears another that does not hear it", steps, 14)
 
 
 def _build_single_listener(count: int, rng: random.Random) -> Day:
-    a, c = rng.sample(range(count), 2)
-    lost = frozenset((a, b) for b in range(count) if b not in (a, c))
+    slot, listener = rng.sample(range(count), 2)
+    lost = frozenset((slot, other) for other in range(count) if other not in (slot, listener))
     steps = [Step(1, "cut", value=lost), Step(16, "cut", value=frozenset())]
-    rule: GoneRule = lambda observer, subject: subject == a  # noqa: E731
+    rule: GoneRule = lambda observer, subject: subject == slot  # noqa: E731
     return Day("reaches-one", "what one sends comes to one other alone", steps, 16, rule)
 
 
@@ -123,10 +126,10 @@
 
 
 def _build_one_sided_cut(count: int, rng: random.Random, deaf: bool = False) -> Day:
-    a = rng.randrange(count)
-    lost = frozenset((b, a) if deaf else (a, b) for b in range(count) if b != a)
+    slot = rng.randrange(count)
+    lost = frozenset((other, slot) if deaf else (slot, other) for other in range(count) if other != slot)
     steps = [Step(1, "cut", value=lost), Step(14, "cut", value=frozenset())]
-    rule: GoneRule = lambda observer, subject: subject == a  # noqa: E731
+    rule: GoneRule = lambda observer, subject: subject == slot  # noqa: E731
     about = "one is heard by all and hears nobody" if deaf else "one hears all and is heard by nobody"
     return Day("deaf" if deaf else "mute", about, steps, 14, rule)
 
@@ -146,10 +149,10 @@
 
 
 def _build_isolation(count: int, rng: random.Random) -> Day:
-    a = rng.randrange(count)
-    others = [slot for slot in range(count) if slot != a]
-    steps = [Step(1, "cut", value=get_pairs_between([a], others)), Step(12, "cut", value=frozenset())]
-    rule: GoneRule = lambda observer, subject: a in (observer, subject)  # noqa: E731
+    slot = rng.randrange(count)
+    others = [other for other in range(count) if other != slot]
+    steps = [Step(1, "cut", value=get_pairs_between([slot], others)), Step(12, "cut", value=frozenset())]
+    rule: GoneRule = lambda observer, subject: slot in (observer, subject)  # noqa: E731
     return Day("alone", "one is cut off both ways", steps, 12, rule)
 
 
--- a/ladderhub/lab/mesh/fleet.py
+++ b/ladderhub/lab/mesh/fleet.py
@@ -46,10 +46,10 @@
         self.rows: list[Row] = []
         self.voters = min(5, count) - (min(5, count) + 1) % 2
         self.relay = Relay(loop, seed)
-        self._ports = {at: free_port() for at in range(count)}
-        self._names = {at: f"sched{at}" for at in range(count)}
-        for at, port in self._ports.items():
-            self.relay.add(at, ("127.0.0.1", port))
+        self._ports = {slot: free_port() for slot in range(count)}
+        self._names = {slot: f"sched{slot}" for slot in range(count)}
+        for slot, port in self._ports.items():
+            self.relay.add(slot, ("127.0.0.1", port))
         self._address_slots = dict.fromkeys(range(count), -1)  # slot -> slot of its address; -1: its own
         self.fleet = Fleet(
             loop, folder, nodes=nodes, schedulers=count, seed=seed, peers=self._build_peer_settings,
@@ -59,12 +59,12 @@
         self.window_s = 1.25 * float(cold["window"].removesuffix("s"))  # while the module counts offers
         self._log_offsets: dict[str, int] = {}
 
-    def _build_peer_settings(self, at: int, name: str) -> dict[str, Any]:
-        place = self._address_slots[at] if self._address_slots[at] >= 0 else at
+    def _build_peer_settings(self, slot: int, name: str) -> dict[str, Any]:
+        address_slot = self._address_slots[slot] if self._address_slots[slot] >= 0 else slot
         seeds = ["{}:{}".format(*self.relay.get_public_address(seed)) for seed in range(min(3, self.count))]
         return {
-            "listen": f"127.0.0.1:{self._ports[place]}", "seeds": seeds, "cluster": "mesh",
-            "advertise": "{}:{}".format(*self.relay.get_public_address(place)),
+            "listen": f"127.0.0.1:{self._ports[address_slot]}", "seeds": seeds, "cluster": "mesh",
+            "advertise": "{}:{}".format(*self.relay.get_public_address(address_slot)),
             "electors": ["{}:{}".format(*self.relay.get_public_address(each)) for each in range(self.voters)],
         }  # fmt: skip
 
@@ -75,7 +75,7 @@
 
     def read_logs(self) -> None:
         """Adds what the processes logged since the last call."""
-        for at, name in self._names.items():
+        for slot, name in self._names.items():
             path = self.folder / name / "log"
             if not path.exists():
                 continue
@@ -85,7 +85,7 @@
             complete_lines = data[: data.rfind(b"\n") + 1]
             self._log_offsets[name] = self._log_offsets.get(name, 0) + len(complete_lines)
             for line in complete_lines.splitlines():
-                self._record_line(at, line)
+                self._record_line(slot, line)
 
     def _record_line(self, slot: int, line: bytes) -> None:
         try:
@@ -93,22 +93,22 @@
         except ValueError:
             self.note("trouble", slot=slot, text=line.decode("utf-8", "replace")[:200])
             return
-        at = datetime.fromisoformat(row.get("timestamp", "1970-01-01T00:00:00+00:00")).timestamp()
-        self.record_event(at, slot, row)
+        at_s = datetime.fromisoformat(row.get("timestamp", "1970-01-01T00:00:00+00:00")).timestamp()
+        self.record_event(at_s, slot, row)
 
-    def record_event(self, at: float, slot: int, row: dict[str, Any]) -> None:
+    def record_event(self, at_s: float, slot: int, row: dict[str, Any]) -> None:
         """Records the log event if the judge uses it."""
         event = row.get("event")
         if event == "peers":
-            self.rows.append({"at": at, "what": "life", "slot": slot, "life": row["life"]})
+            self.rows.append({"at": at_s, "what": "life", "slot": slot, "life": row["life"]})
         elif event == "member":
-            values = {key: row[key] for key in ("change", "member", "life", "cause")}
-            self.rows.append({"at": at, "what": "told", "slot": slot, **values})
+            report = {key: row[key] for key in ("change", "member", "life", "cause")}
+            self.rows.append({"at": at_s, "what": "told", "slot": slot, **report})
         elif event == "seats":
             values = {"slots": row["slots"], "until_ns": row["until_ns"]}
-            self.rows.append({"at": at, "what": "seats", "slot": slot, **values})
+            self.rows.append({"at": at_s, "what": "seats", "slot": slot, **values})
         elif row.get("level") == "error" or event in ("trouble", "decision"):
-            self.rows.append({"at": at, "what": "trouble", "slot": slot, "text": json.dumps(row)[:400]})
+            self.rows.append({"at": at_s, "what": "trouble", "slot": slot, "text": json.dumps(row)[:400]})
 
     def has_converged(self) -> bool:
         self.read_logs()
@@ -127,8 +127,8 @@
 
     def start(self) -> None:
         """Starts the fleet; raises RuntimeError if it does not converge, PortTaken if a port was in use."""
-        for at in range(self.count):
-            self.note("began", slot=at, name=self._names[at])
+        for slot in range(self.count):
+            self.note("began", slot=slot, name=self._names[slot])
         try:
             self.fleet.start()
             if not self.wait_for(self.has_converged, CONVERGENCE_TIMEOUT_NS):
--- a/ladderhub/lab/mesh/judge.py
+++ b/ladderhub/lab/mesh/judge.py
@@ -114,24 +114,24 @@
     open_uses: dict[int, tuple[dict[int, float], float]] = {}  # slot -> start of each seat, and expiry
     life_counts: dict[int, int] = {}
 
-    def end(slot: int, at: float, kept: set[int]) -> None:
-        seats, until = open_uses.get(slot, ({}, 0.0))
-        stop = min(at, until)
-        for seat in [each for each in seats if each not in kept or until < at]:
-            found.append(_LeaseUse(seat, seats.pop(seat), stop, slot, life_counts[slot]))
+    def end(slot: int, at_s: float, kept: set[int]) -> None:
+        seats, expiry_s = open_uses.get(slot, ({}, 0.0))
+        end_s = min(at_s, expiry_s)
+        for seat in [each for each in seats if each not in kept or expiry_s < at_s]:
+            found.append(_LeaseUse(seat, seats.pop(seat), end_s, slot, life_counts[slot]))
 
     for row in sorted(rows, key=lambda each: float(each["at"])):
-        at, slot = float(row["at"]), row.get("slot", -1)
+        at_s, slot = float(row["at"]), row.get("slot", -1)
         if row["what"] in ("began", "over"):
-            end(slot, at, set())
+            end(slot, at_s, set())
             open_uses.pop(slot, None)
             life_counts[slot] = life_counts.get(slot, 0) + (row["what"] == "began")
         elif row["what"] == "seats" and slot in life_counts:
             wanted = set(row["slots"])
-            end(slot, at, wanted)
+            end(slot, at_s, wanted)
             held = open_uses.get(slot, ({}, 0.0))[0]
             open_uses[slot] = (
-                held | {seat: at for seat in wanted if seat not in held},
+                held | {seat: at_s for seat in wanted if seat not in held},
                 row["until_ns"] / 1e9,
             )
     last_at = max((float(row["at"]) for row in rows), default=0.0)
@@ -166,13 +166,13 @@
     ended_at: dict[tuple[str, int], float] = {}
     has_begun, settled_at, equal_since = False, -1.0, -1.0
     for row in sorted(rows, key=lambda each: float(each["at"])):
-        at, what = float(row["at"]), row["what"]
+        at_s, what = float(row["at"]), row["what"]
         if what == "over" and row["slot"] in replay.living:
-            ended_at[replay.living[row["slot"]]] = at
+            ended_at[replay.living[row["slot"]]] = at_s
         elif what == "day":
             has_begun = True
         elif what == "settled":
-            settled_at = at
+            settled_at = at_s
         elif what == "trouble":
             verdict.troubles.append(f"slot {row['slot']}: {row['text']}")
         elif what == "told" and has_begun:
@@ -182,7 +182,7 @@
         replay.apply(row)
         if settled_at >= 0:
             is_equal = not replay.find_differing_views(day.excluded)
-            equal_since = (at if equal_since < 0 else equal_since) if is_equal else -1.0
+            equal_since = (at_s if equal_since < 0 else equal_since) if is_equal else -1.0
     verdict.differing_views = replay.find_differing_views(day.excluded)
     if settled_at < 0:
         verdict.differing_views.append("the recording ends before the last fault is over")
--- a/ladderhub/lab/mesh/revision_judge.py
+++ b/ladderhub/lab/mesh/revision_judge.py
@@ -48,7 +48,7 @@
     def troubles(self) -> list[str]:
         return self.membership.troubles
 
-    def _rules(self) -> dict[str, list[str]]:
+    def _get_violations_by_rule(self) -> dict[str, list[str]]:
         return {
             "two orders": self.forks, "decided by what was never chosen": self.unchosen,
             "decided by an older one after a newer": self.backward,
@@ -58,7 +58,7 @@
 
     def is_orderly(self) -> bool:
         """Whether all rules without a time limit hold and no log has an error."""
-        return not any(self._rules().values()) and not self.troubles
+        return not any(self._get_violations_by_rule().values()) and not self.troubles
 
     def is_good(self) -> bool:
         late = self.late if self.in_force_limit_s is not None else []
@@ -68,9 +68,9 @@
         outcomes = ", ".join(f"{name} {count}" for name, count in sorted(self.outcomes.items()))
         yield f"{self.proposed} changes proposed ({outcomes}), {self.chosen} revisions chosen"
         yield f"{self.decisions} decisions on jobs; " + "; ".join(
-            f"{name}: {len(found)}" for name, found in self._rules().items()
+            f"{name}: {len(found)}" for name, found in self._get_violations_by_rule().items()
         )
-        for found in self._rules().values():
+        for found in self._get_violations_by_rule().values():
             yield from found[:5]
         p50, p99, most = self.get_quantiles()
         yield f"in force after {p50:.2f} s p50, {p99:.2f} s p99, {most:.2f} s at most; late: {len(self.late)}"
@@ -114,8 +114,8 @@
         known = self.digests.setdefault(number, digest)
         if known != digest:
             self.forks.append(f"slot {row['slot']} has {digest[:8]} as revision {number}, not {known[:8]}")
-        before = self.digests.get(number - 1)
-        if before is not None and row["parent"] != before:
+        parent_digest = self.digests.get(number - 1)
+        if parent_digest is not None and row["parent"] != parent_digest:
             self.forks.append(f"slot {row['slot']}: revision {number} does not follow {number - 1}")
         self._first_chosen_at.setdefault(number, float(row["at"]))
         if row["slot"] in self._known:
@@ -126,20 +126,21 @@
         """Whether a majority of the voters accepted it in one ballot."""
         return self.digests.get(number) in self._by_majority
 
-    def get_newest_at(self, at: float) -> int:
+    def get_newest_at(self, at_s: float) -> int:
         """Returns the newest revision that any process knew to be chosen at this time."""
-        return max((number for number, first in self._first_chosen_at.items() if first <= at), default=0)
+        return max((number for number, first in self._first_chosen_at.items() if first <= at_s), default=0)
 
-    def get_known_at(self, at: float) -> int:
+    def get_known_to_majority_at(self, at_s: float) -> int:
         """Returns the newest revision that a majority of the voters knew to be chosen at this time.
 
         Any majority that is asked later includes one of these voters."""
         known = [
-            max((number for when, number in told if when <= at), default=0) for told in self._known.values()
+            max((number for when, number in reports if when <= at_s), default=0)
+            for reports in self._known.values()
         ]
         return sorted(known, reverse=True)[self._voters // 2]
 
-    def get_first_at(self, number: int) -> float:
+    def get_first_chosen_at(self, number: int) -> float:
         return self._first_chosen_at[number]
 
 
@@ -152,7 +153,7 @@
     """State of one process during the replay."""
 
     in_force: int = 0
-    ready: bool = False  # caught up since its start or its last long pause
+    is_ready: bool = False  # caught up since its start or its last long pause
     woken_at: float = 0.0
     required_number: int = 0  # newest revision chosen before it woke, if it was reachable
     pending: dict[int, float] = field(default_factory=dict)  # chosen, not yet in force here: since when
@@ -169,7 +170,7 @@
         self._lives: dict[int, _Life] = {}
         self._paused_at: dict[int, float] = {}
         self._proposals: dict[ProposalKey, tuple[int, float]] = {}  # slot and time
-        self._begun = False
+        self._has_begun = False
         self._answered: set[ProposalKey] = set()
 
     def run(self) -> RevisionVerdict:
@@ -181,34 +182,34 @@
         self.verdict.chosen = len(self._chain.digests)
         return self.verdict
 
-    def _apply_row(self, at: float, what: str, slot: int, row: Row) -> None:
+    def _apply_row(self, at_s: float, what: str, slot: int, row: Row) -> None:
         life = self._lives.get(slot)
         if what == "day":
-            self._begun = True
+            self._has_begun = True
         elif what == "life":
-            self._lives[slot] = life = _Life(woken_at=at)
-            newest = self._chain.get_newest_at(at)
+            self._lives[slot] = life = _Life(woken_at=at_s)
+            newest = self._chain.get_newest_at(at_s)
             if newest:
-                life.pending[newest] = at
+                life.pending[newest] = at_s
         elif what in ("began", "over"):
             self._lives.pop(slot, None)
         elif what == "paused":
-            self._paused_at[slot] = at
+            self._paused_at[slot] = at_s
         elif life is None:
             return
         elif what == "woken":
-            if at - self._paused_at.get(slot, at) > LONG_PAUSE_S:
-                life.ready, life.woken_at = False, at
+            if at_s - self._paused_at.get(slot, at_s) > LONG_PAUSE_S:
+                life.is_ready, life.woken_at = False, at_s
         elif what == "in force":
-            self._on_in_force(at, slot, life, row)
+            self._on_in_force(at_s, slot, life, row)
         elif what == "decided":
             self._on_decided(slot, life, row)
         elif what == "revision":
-            self._on_revision(at, slot, life, row)
+            self._on_revision(at_s, slot, life, row)
 
     # --- decisions --------------------------------------------------------------------------------------
 
-    def _on_in_force(self, at: float, slot: int, life: _Life, row: Row) -> None:
+    def _on_in_force(self, at_s: float, slot: int, life: _Life, row: Row) -> None:
         number = row["number"]
         if self._chain.digests.get(number) != row["digest"] or not self._chain.is_chosen(number):
             self.verdict.unchosen.append(f"slot {slot} acts by a revision {number} that was not chosen")
@@ -219,7 +220,7 @@
             since = life.pending.pop(each)
             reachable = self._reach.reachable_since.get(slot)
             if reachable is not None:
-                self._count_lag(slot, each, at - max(since, reachable))
+                self._count_lag(slot, each, at_s - max(since, reachable))
 
     def _count_lag(self, slot: int, number: int, lag: float) -> None:
         self.verdict.lags.append(lag)
@@ -229,13 +230,13 @@
     def _on_decided(self, slot: int, life: _Life, row: Row) -> None:
         number, kind, verdict = row["number"], row["kind"], self.verdict
         verdict.decisions += 1
-        if number == 0 and not self._begun:
+        if number == 0 and not self._has_begun:
             return  # by the settings file, before the first revision
         if number > life.in_force or not self._chain.is_chosen(number):
             verdict.unchosen.append(f"slot {slot}: {kind} by revision {number}, {life.in_force} in force")
         elif number < life.in_force:
             verdict.backward.append(f"slot {slot}: {kind} by revision {number} after {life.in_force}")
-        if kind == "offer" and not life.ready:
+        if kind == "offer" and not life.is_ready:
             verdict.unready.append(f"slot {slot}: an offer before it had caught up")
         if kind == "offer" and number < life.required_number:
             verdict.stale.append(
@@ -244,29 +245,29 @@
 
     # --- log events about revisions ---------------------------------------------------------------------
 
-    def _on_revision(self, at: float, slot: int, life: _Life, row: Row) -> None:
+    def _on_revision(self, at_s: float, slot: int, life: _Life, row: Row) -> None:
         stage = row["stage"]
         if stage == "proposed":
             self.verdict.proposed += 1
-            self._proposals[_build_key(row)] = (slot, at)
+            self._proposals[_build_key(row)] = (slot, at_s)
         elif stage == "answered":
             self._on_answered(slot, row)
         elif stage == "chosen":
-            self._on_chosen(at, row)
+            self._on_chosen(at_s, row)
         elif stage == "held":
-            life.ready = False
+            life.is_ready = False
         elif stage == "resumed":
-            life.ready = True
+            life.is_ready = True
             reachable = self._reach.reachable_since.get(slot)
             if reachable is not None and reachable <= life.woken_at:
-                life.required_number = self._chain.get_known_at(life.woken_at)
+                life.required_number = self._chain.get_known_to_majority_at(life.woken_at)
 
-    def _on_chosen(self, at: float, row: Row) -> None:
+    def _on_chosen(self, at_s: float, row: Row) -> None:
         number = row["number"]
-        if at > self._chain.get_first_at(number):
+        if at_s > self._chain.get_first_chosen_at(number):
             return
-        slot, since = self._proposals.get(_build_key(row), (row["slot"], at))
-        since = max(since, self._reach.reachable_since.get(slot, at))
+        slot, since = self._proposals.get(_build_key(row), (row["slot"], at_s))
+        since = max(since, self._reach.reachable_since.get(slot, at_s))
         for life in self._lives.values():
             if life.in_force < number:
                 life.pending[number] = since
@@ -281,8 +282,8 @@
             self.verdict.false_answers.append(f"slot {slot} told {outcome} to {key[0]}; it was otherwise")
 
     def _check_end(self, last_at: float) -> None:
-        for key, (slot, at) in self._proposals.items():
-            if key not in self._answered and slot in self._lives and last_at - at > ANSWER_LIMIT_S:
+        for key, (slot, at_s) in self._proposals.items():
+            if key not in self._answered and slot in self._lives and last_at - at_s > ANSWER_LIMIT_S:
                 self.verdict.false_answers.append(f"slot {slot} never answered {key[0]}")
         limit_s = self.verdict.in_force_limit_s
         for slot, life in self._lives.items():
