--- a/ladderhub/lab/checker/ballot_processes.py
+++ b/ladderhub/lab/checker/ballot_processes.py
@@ -84,6 +84,7 @@
         return self.classes.instance(self.context, number, own_header, 1)
 
     def can_begin_ballot(self) -> bool:
+        """Whether its revision is still undecided and it has ballots left."""
         is_undecided = self.instance is not None and self.instance.chosen is None
         return is_undecided and self.ballots_begun < self.max_ballots
 
@@ -97,6 +98,7 @@
         self.instance.tick(FAR_FUTURE_NS)
 
     def receive(self, message: Any) -> None:
+        """Handles one message and records its revision once that is chosen."""
         instance = self.instance
         if isinstance(message, Headers):
             if Sync(self.context, self.ledger).on_headers(0, "", message):
--- a/ladderhub/lab/checker/ballots.py
+++ b/ladderhub/lab/checker/ballots.py
@@ -56,6 +56,7 @@
     chosen: set[tuple[int, str]] = field(default_factory=set)  # numbers and authors, over all schedules
 
     def lines(self) -> Iterator[str]:
+        """Yields the lines of the report."""
         share = "all of them" if self.is_complete else "not all"
         seen = f"{self.walks} schedules" if self.walks else f"{self.states} states within the bounds, {share}"
         yield f"{seen}; {self.steps} steps, {self.seconds:.1f} s"
@@ -182,6 +183,7 @@
     # --- the search -------------------------------------------------------------------------------------
 
     def run(self) -> SearchResult:
+        """Searches breadth first until complete, until the limit of states or until a violation."""
         started_s = time.perf_counter()
         start = self._create_start_state()
         predecessors: dict[_State, tuple[_State, str] | None] = {start: None}
--- a/ladderhub/lab/checker/leases.py
+++ b/ladderhub/lab/checker/leases.py
@@ -98,6 +98,7 @@
         return Host(self.make_holder(settings, index + 7 * life, self.now), life)
 
     def step(self, faults: list[Fault]) -> None:
+        """Runs one step of all hosts with these faults."""
         self._lost_links, self._link_delays = set(), {}
         for fault in faults:
             host = self.hosts[fault.who]
@@ -172,6 +173,7 @@
     idle_share: float = 0.0  # of all slots and steps checked
 
     def lines(self) -> Iterator[str]:
+        """Yields the lines of the report."""
         yield f"{self.schedules} schedules, {self.steps} steps, {self.seconds:.1f} s"
         yield f"slots that nobody could use, of all slots and steps: {100 * self.idle_share:.1f} %"
         if self.violation:
--- a/ladderhub/lab/checker/schedules.py
+++ b/ladderhub/lab/checker/schedules.py
@@ -32,6 +32,7 @@
     seed: str = ""  # of the schedule with the violation
 
     def lines(self) -> Iterator[str]:
+        """Yields the lines of the report."""
         yield f"{self.schedules} schedules, {self.chosen} revisions chosen, {self.seconds:.1f} s"
         if self.violation:
             yield f"BROKEN: {self.violation} in schedule {self.seed}"
--- a/ladderhub/lab/emulator/day.py
+++ b/ladderhub/lab/emulator/day.py
@@ -27,6 +27,7 @@
     reports: list[tuple[int, str, MemberChanged]] = field(default_factory=list)
 
     def is_good(self) -> bool:
+        """Whether no living member was wrongly reported gone and all views became equal."""
         return not self.false_gone and self.convergence_ns >= 0
 
 
@@ -42,6 +43,7 @@
         self._twins: dict[int, Host] = {}
 
     def run(self) -> Outcome:
+        """Runs the day on a fleet with equal views, and then until the views are equal again."""
         net, fleet = self.net, self.fleet
         net.run(net.now + 2 * S)
         assert fleet.settle(30 * S) >= 0, "the fleet did not come together before the day"
@@ -65,6 +67,7 @@
         return self.day.may_report_gone(observer.index, self.slots.get(member[0], -1))
 
     def execute_step(self, step: Step) -> None:
+        """Executes one step of the day on the emulated fleet."""
         fleet, slot = self.fleet, step.slot
         if step.what == "start":
             if slot not in fleet.hosts:
--- a/ladderhub/lab/emulator/membership.py
+++ b/ladderhub/lab/emulator/membership.py
@@ -36,6 +36,7 @@
 
 
 def get_address(index: int) -> str:
+    """Returns the emulated address of the scheduler with this index."""
     return f"10.{index >> 16}.{index >> 8 & 255}.{index & 255}:7000"
 
 
@@ -67,10 +68,12 @@
         return self.name, self.life
 
     def receive(self, frame: Frame) -> None:
+        """Handles a frame from the network; frames with revision messages are ignored."""
         if self.alive and not isinstance(frame.message, RevisionMessage):
             self.handle_event(MessageReceived(frame.name, frame.life, frame.incarnation, frame.message))
 
     def handle_event(self, event: Event) -> None:
+        """Passes an event to the membership view or the lease holder and executes the actions."""
         now = self.net.now
         if isinstance(event, MessageReceived) and isinstance(event.message, LeaseMessage):
             if self.leases is not None:
@@ -86,6 +89,7 @@
             )
 
     def execute(self, actions: list[Action]) -> None:
+        """Executes actions: sends messages, schedules wake-ups and reports changes to the fleet."""
         for action in actions:
             if isinstance(action, SendMessage):
                 me = self.view.self_entry
@@ -113,9 +117,11 @@
         self.net.close(self.address, self.receive)
 
     def handle_stop(self) -> None:
+        """Lets the member leave the fleet gracefully."""
         self.handle_event(Stop())
 
     def pause(self, span_ns: int) -> None:
+        """Stops the host for a time; its messages and calls wait."""
         if self.alive and self.paused_ns < 0:
             self.paused_ns = self.net.now
             self.net.pause(self.address)
@@ -144,13 +150,16 @@
     idle_share: float | None = None
 
     def get_p99_s(self) -> float:
+        """Returns the 99th percentile of the crash latencies in seconds."""
         ordered = sorted(self.latencies_ns)
         return ordered[min(len(ordered) - 1, len(ordered) * 99 // 100)] / S if ordered else 0.0
 
     def is_good(self) -> bool:
+        """Whether no rule was violated."""
         return not (self.false_gone or self.differing or self.unreported or self.doubly_held)
 
     def lines(self) -> Iterator[str]:
+        """Yields the lines of the report."""
         yield f"{self.members} members, {self.crashes} crashes, {self.pauses} pauses"
         yield f"living members told gone: {len(self.false_gone)}"
         yield from self.false_gone[:5]
@@ -200,6 +209,7 @@
             self.net.call_at(self.net.now + int(self.random.random() * S), self.start, index)
 
     def start(self, index: int, known: tuple[str, ...] = (), life: int = 0) -> None:
+        """Starts a new life of the scheduler with this index."""
         self.hosts[index] = self._create_host(index, f"s{index}", get_address(index), known, life)
 
     def start_named(self, index: int, name: str, address: str) -> None:
@@ -223,12 +233,14 @@
             self.rows.append({"at": self.net.now / S, "what": what, "slot": slot, **values})
 
     def kill(self, index: int) -> None:
+        """Ends a life without notice to the others."""
         host = self.hosts.pop(index)
         host.kill()
         self._ended[host.id] = self.net.now
         self._informed[host.id] = set()
 
     def on_change(self, host: Host, change: MemberChanged) -> None:
+        """Logs a reported change, and checks reports of members that are gone."""
         self.log.append((self.net.now, host.name, change))
         if change.change not in (Change.GONE, Change.LEFT) or change.name == host.name:
             return
--- a/ladderhub/lab/emulator/net.py
+++ b/ladderhub/lab/emulator/net.py
@@ -42,10 +42,12 @@
         self._paused: dict[str, list[tuple[Callable[..., object], tuple[Any, ...]]]] = {}
 
     def call_at(self, at_ns: int, call: Callable[..., object], *args: Any) -> None:
+        """Schedules a call at a simulated time."""
         self._sequence += 1
         heapq.heappush(self._queue, (at_ns, self._sequence, call, args))
 
     def run(self, until_ns: int) -> None:
+        """Runs all calls that are due until this time."""
         queue = self._queue
         while queue and queue[0][0] <= until_ns:
             self.now, _, call, args = heapq.heappop(queue)
@@ -60,14 +62,17 @@
         self._paused.pop(address, None)
 
     def close(self, address: str, receive: Callable[[Any], None]) -> None:
+        """Removes a receiver from its address, unless another receiver has replaced it."""
         if self._hosts.get(address) == receive:
             del self._hosts[address]
             self._paused.pop(address, None)
 
     def pause(self, address: str) -> None:
+        """Queues messages and calls of the host at this address from now on."""
         self._paused.setdefault(address, [])
 
     def resume(self, address: str) -> None:
+        """Delivers the queued messages and calls of a paused host."""
         for call, args in self._paused.pop(address, []):
             call(*args)
 
@@ -82,6 +87,7 @@
     # --- messages ---------------------------------------------------------------------------------------
 
     def send(self, source: str, target: str, message: Any, size: int) -> None:
+        """Sends a message subject to the current faults.  `size`: bytes, for the traffic counters."""
         self.sent += 1
         self.sent_bytes += size
         faults, draw = self.faults, self.random.random
--- a/ladderhub/lab/emulator/placement.py
+++ b/ladderhub/lab/emulator/placement.py
@@ -179,9 +179,11 @@
     max_wait_ns: int = 0  # longest time an event was queued, if time is charged
 
     def get_total_ns(self) -> int:
+        """Returns the processor time of all events."""
         return sum(self.ns.values())
 
     def get_mean_us(self, kind: str) -> float:
+        """Returns the mean time per event of this kind in microseconds."""
         return self.ns[kind] / self.count[kind] / 1000 if self.count[kind] else 0.0
 
 
--- a/ladderhub/lab/emulator/revision_judge.py
+++ b/ladderhub/lab/emulator/revision_judge.py
@@ -51,6 +51,7 @@
             self.violations.append(f"{name} acted by {numbers[-2:]} in one life")
 
     def on_answered(self, answer: Answer) -> None:
+        """Checks an answer: one per request, and `Applied` only for a chosen revision."""
         if answer.request_id in self.outcomes:
             self.violations.append(f"request {answer.request_id} was answered twice")
         self.outcomes[answer.request_id] = answer.outcome
@@ -77,13 +78,16 @@
     messages_per_s: float = 0.0
 
     def is_good(self) -> bool:
+        """Whether no rule was violated and each change was in force in time."""
         is_late = self.get_max_in_force_s() > IN_FORCE_LIMIT_NS / S
         return not (self.violations or self.unanswered or self.differing or is_late)
 
     def get_max_in_force_s(self) -> float:
+        """Returns the longest time until a change was in force on a reachable scheduler."""
         return max(self.in_force_ns, default=0) / S
 
     def lines(self) -> Iterator[str]:
+        """Yields the lines of the report."""
         outcomes = ", ".join(f"{count} {name}" for name, count in sorted(self.outcomes.items()))
         yield f"{self.schedulers} schedulers, {self.changes} changes asked for: {outcomes}"
         yield f"first in force anywhere in s, p50 p99 most: {_format_quantiles(self.first_ns)}"
--- a/ladderhub/lab/emulator/revisions.py
+++ b/ladderhub/lab/emulator/revisions.py
@@ -45,6 +45,7 @@
         self.net.call_at(self.net.now + int(simulation.random.random() * S), self._ping)
 
     def receive(self, message: tuple[str, int, Head, Any]) -> None:
+        """Handles a message and the head that it carries."""
         if self.alive:
             name, life, head, content = message
             self.handle_event(HeadSeen(self.simulation.addresses[name], head))
@@ -52,6 +53,7 @@
                 self.handle_event(MessageReceived(name, life, content))
 
     def handle_event(self, event: Event) -> None:
+        """Passes an event to the revision module and executes the actions, unless killed in between."""
         for action in self.revisions.handle(self.net.now, event):
             if self.actions_left == 0:
                 self.kill()
@@ -156,15 +158,18 @@
         return json.dumps({"change": number, "filling": filling}).encode()
 
     def find_body_fault(self, host: Host, body: bytes) -> str | None:
+        """Returns the fault that a host finds in a body, if any; tests override it."""
         return None
 
     def start(self, index: int, stored: Record | None) -> None:
+        """Starts a new life of the scheduler with this index from a stored record."""
         record = decode_record(encode_record(stored)) if stored is not None else None
         self.hosts[index] = Host(self, index, self.net.now + index, record)
 
     # --- changes and faults -----------------------------------------------------------------------------
 
     def request_change(self, index: int | None = None, on_current: bool = True) -> None:
+        """Requests a change at a scheduler, by default a random one that runs."""
         available = [each for each, host in self.hosts.items() if host.alive and not host.paused]
         host = self.hosts[self.random.choice(available) if index is None else index]
         number = len(self.changes)
@@ -177,9 +182,11 @@
         )
 
     def record_disturbance(self, index: int, span_ns: int) -> None:
+        """Records that the scheduler is unreachable for a time, for the measured delays."""
         self.disturbances.setdefault(index, []).append((self.net.now, self.net.now + span_ns))
 
     def pause(self, index: int, span_ns: int) -> None:
+        """Pauses a scheduler for a time."""
         host = self.hosts[index]
         if host.alive and not host.paused:
             self.record_disturbance(index, span_ns)
@@ -226,6 +233,7 @@
     # --- the verdict ------------------------------------------------------------------------------------
 
     def start_traffic_count(self) -> None:
+        """Starts to count the bytes and messages sent."""
         self._sent_before = (self.net.sent_bytes, self.net.sent)
         send = self.net.send
 
@@ -237,6 +245,7 @@
         self._started_ns = self.net.now
 
     def build_verdict(self) -> RevisionVerdict:
+        """Judges the simulation at its end."""
         judge, seconds = self.judge, (self.net.now - self._started_ns) / S
         last = max(judge.chosen, default=0)
         unanswered = sum(
--- a/ladderhub/lab/mesh/changes.py
+++ b/ladderhub/lab/mesh/changes.py
@@ -106,10 +106,11 @@
             or replies[0] is None
             or not replies[0].rows
         ):
-            raise RuntimeError("the configuration in force was not told")
+            raise RuntimeError("the scheduler did not return the configuration in force")
         self._policy = msgspec.json.decode(replies[0].rows[0].get("body"))
 
     def run_change_day(self, day: Day, in_force_limit_s: float | None) -> RevisionVerdict:
+        """Runs a day under load and judges membership and revisions."""
         self._rate = day.load
         self._submit_job()
         membership = self.run_day_script(day)
--- a/ladderhub/lab/mesh/days.py
+++ b/ladderhub/lab/mesh/days.py
@@ -57,11 +57,13 @@
 
 
 def get_all_pairs(slots: Iterable[int]) -> set[tuple[int, int]]:
+    """Returns all ordered pairs of different slots."""
     members = list(slots)
     return {(slot, other) for slot in members for other in members if slot != other}
 
 
 def get_pairs_between(left: Iterable[int], right: Iterable[int]) -> Pairs:
+    """Returns the pairs in both directions between two sets of slots."""
     left_slots, right_slots = list(left), list(right)
     return frozenset(
         {(slot, other) for slot in left_slots for other in right_slots}
--- a/ladderhub/lab/mesh/fleet.py
+++ b/ladderhub/lab/mesh/fleet.py
@@ -71,6 +71,7 @@
     # --- the recording ----------------------------------------------------------------------------------
 
     def note(self, what: str, **values: Any) -> None:
+        """Adds a row with the current time to the recording."""
         self.rows.append({"at": datetime.now().timestamp(), "what": what, **values})
 
     def read_logs(self) -> None:
@@ -111,6 +112,7 @@
             self.rows.append({"at": at_s, "what": "trouble", "slot": slot, "text": json.dumps(row)[:400]})
 
     def has_converged(self) -> bool:
+        """Whether every process has exactly the living processes in its view."""
         self.read_logs()
         replay = Replay()
         for row in sorted(self.rows, key=lambda each: float(each["at"])):
@@ -132,9 +134,9 @@
         try:
             self.fleet.start()
             if not self.wait_for(self.has_converged, CONVERGENCE_TIMEOUT_NS):
-                raise RuntimeError(f"the schedulers did not come together; see {self.folder}")
+                raise RuntimeError(f"the schedulers did not converge to one view; see {self.folder}")
             if not self.wait_for(self.has_all_slots_leased, CONVERGENCE_TIMEOUT_NS):
-                raise RuntimeError(f"not every seat found a holder; see {self.folder}")
+                raise RuntimeError(f"not every seat has a holder; see {self.folder}")
         except RuntimeError as error:
             self.read_logs()
             if any("Address already in use" in row.get("text", "") for row in self.rows):
@@ -142,6 +144,7 @@
             raise
 
     def wait_for(self, done: Callable[[], object], timeout_ns: int) -> bool:
+        """Runs the loop until the condition holds; returns False on a timeout."""
         deadline_ns = self.loop.now_ns() + timeout_ns
         while not done():
             if self.loop.now_ns() >= deadline_ns:
@@ -164,6 +167,7 @@
         return judge(self.rows, day, self.count, self.window_s)
 
     def execute_step(self, step: Step) -> None:
+        """Executes one step of a day and records the fault."""
         slot, relay = step.slot, self.relay
         if step.what == "start":
             self._start(slot)
--- a/ladderhub/lab/mesh/hollow.py
+++ b/ladderhub/lab/mesh/hollow.py
@@ -27,6 +27,7 @@
         self._result_files: list[Path] = []
 
     def start(self, cluster: str, seeds: list[str], voters: list[str], slots: int, seed: int) -> None:
+        """Starts the processes that join the cluster through these seeds."""
         for first in range(0, self.count, SCHEDULERS_PER_PROCESS):
             number = min(SCHEDULERS_PER_PROCESS, self.count - first)
             plan = HollowPlan(
--- a/ladderhub/lab/mesh/judge.py
+++ b/ladderhub/lab/mesh/judge.py
@@ -39,9 +39,11 @@
     report_count: int = 0
 
     def is_good(self) -> bool:
+        """Whether no rule was violated and no log has an error."""
         return not (self.false_gone or self.differing_views or self.troubles or self.doubly_held)
 
     def lines(self) -> Iterator[str]:
+        """Yields the lines of the report."""
         yield (
             f"{self.report_count} changes told; "
             f"living members told gone beyond the rule: {len(self.false_gone)}"
@@ -58,6 +60,7 @@
 
 
 def read_recording(path: Path) -> list[Row]:
+    """Reads the rows of a recording file."""
     with open(path) as file:
         return [json.loads(line) for line in file]
 
@@ -70,6 +73,7 @@
         self.views: dict[int, set[tuple[str, int]]] = {}
 
     def apply(self, row: Row) -> None:
+        """Updates the processes and views from the next row."""
         slot = row.get("slot", -1)
         if row["what"] == "began":
             self.living[slot] = (row["name"], 0)
--- a/ladderhub/lab/mesh/reach.py
+++ b/ladderhub/lab/mesh/reach.py
@@ -20,6 +20,7 @@
         self._cut: set[tuple[int, int]] = set()
 
     def apply(self, row: Row) -> None:
+        """Updates the state from the next row of the recording."""
         what, slot = row["what"], row.get("slot", -1)
         if what == "life":
             self._alive.add(slot)
--- a/ladderhub/lab/mesh/relay.py
+++ b/ladderhub/lab/mesh/relay.py
@@ -43,6 +43,7 @@
         return self._sockets[slot].address
 
     def get_public_address(self, slot: int) -> Address:
+        """Returns the address that peers use to reach this scheduler."""
         return self._sockets[slot].address
 
     def _forward(self, target: int, data: bytes, source: Address) -> None:
@@ -70,6 +71,7 @@
         self._sockets[target].send(data, self._private[target])
 
     def set_cut(self, pairs: Pairs) -> None:
+        """Drops datagrams between these pairs (from, to) from now on."""
         self.cut = pairs
 
     def hold(self, slot: int) -> None:
--- a/ladderhub/lab/mesh/revision_judge.py
+++ b/ladderhub/lab/mesh/revision_judge.py
@@ -61,10 +61,12 @@
         return not any(self._get_violations_by_rule().values()) and not self.troubles
 
     def is_good(self) -> bool:
+        """Whether all rules hold, including those of membership and, if judged, of time."""
         late = self.late if self.in_force_limit_s is not None else []
         return self.is_orderly() and self.membership.is_good() and not late
 
     def lines(self) -> Iterator[str]:
+        """Yields the lines of the report."""
         outcomes = ", ".join(f"{name} {count}" for name, count in sorted(self.outcomes.items()))
         yield f"{self.proposed} changes proposed ({outcomes}), {self.chosen} revisions chosen"
         yield f"{self.decisions} decisions on jobs; " + "; ".join(
@@ -83,6 +85,7 @@
         yield from self.membership.lines()
 
     def get_quantiles(self) -> tuple[float, float, float]:
+        """Returns the median, 99th percentile and maximum of the lags in seconds."""
         ordered = sorted(self.lags) or [0.0]
         return ordered[len(ordered) // 2], ordered[int(len(ordered) * 0.99)], ordered[-1]
 
@@ -141,6 +144,7 @@
         return sorted(known, reverse=True)[self._voters // 2]
 
     def get_first_chosen_at(self, number: int) -> float:
+        """Returns when a process first reported this revision as chosen."""
         return self._first_chosen_at[number]
 
 
@@ -174,6 +178,7 @@
         self._answered: set[ProposalKey] = set()
 
     def run(self) -> RevisionVerdict:
+        """Replays all rows and returns the verdict."""
         self.verdict.forks += self._chain.forks
         for row in self._rows:
             self._reach.apply(row)
