--- a/ladderhub/lab/emulator/membership.py
+++ b/ladderhub/lab/emulator/membership.py
@@ -97,13 +97,13 @@
                 self.net.send(self.address, action.address, frame, len(encode(frame)))
             elif isinstance(action, WakeAt):
                 self._wake_at_ns = action.at_ns
-                self.net.call_at(action.at_ns, self._wake, action.at_ns)
+                self.net.call_at(action.at_ns, self._on_wake, action.at_ns)
             elif isinstance(action, LeasesHeld):
                 self.fleet.note("seats", self.index, slots=action.slots, until_ns=action.until_ns)
             else:
                 self.fleet.on_change(self, action)
 
-    def _wake(self, wake_at_ns: int) -> None:
+    def _on_wake(self, wake_at_ns: int) -> None:
         if self.alive and wake_at_ns == self._wake_at_ns:
             self.net.call_on_host(self.address, self._tick, wake_at_ns)
 
--- a/ladderhub/lab/emulator/revisions.py
+++ b/ladderhub/lab/emulator/revisions.py
@@ -67,7 +67,7 @@
             self._send(action.address, action.message)
         elif isinstance(action, WakeAt):
             self._wake_at_ns = action.at_ns
-            self.net.call_at(action.at_ns, self._wake, action.at_ns)
+            self.net.call_at(action.at_ns, self._on_wake, action.at_ns)
         elif isinstance(action, Store):
             self.disk = action.record
             self.simulation.judge.on_stored(self.address, action.record)
@@ -98,7 +98,7 @@
         if self.alive:
             self.handle_event(event)
 
-    def _wake(self, wake_at_ns: int) -> None:
+    def _on_wake(self, wake_at_ns: int) -> None:
         if self.alive and wake_at_ns == self._wake_at_ns:
             self.net.call_on_host(self.address, self._tick, wake_at_ns)
 
@@ -224,9 +224,9 @@
             return (target in inside) != (source in inside) and (target in inside or not one_sided)
 
         self.net.faults.cut = is_cut
-        self.net.call_at(self.net.now + span_ns, self._heal, is_cut)
+        self.net.call_at(self.net.now + span_ns, self._end_cut, is_cut)
 
-    def _heal(self, is_cut: Any) -> None:
+    def _end_cut(self, is_cut: Any) -> None:
         if self.net.faults.cut is is_cut:
             self.net.faults.cut = None
 
@@ -296,12 +296,12 @@
     simulation.start_traffic_count()
     started_ns, end = net.now, net.now + seconds * S
 
-    def change() -> None:
+    def submit_change() -> None:
         if net.now < end:
             simulation.request_change(on_current=random.random() < 0.8)
-            net.call_at(net.now + int(S / rate), change)
+            net.call_at(net.now + int(S / rate), submit_change)
 
-    def fault() -> None:
+    def inject_fault() -> None:
         if net.now < end - 10 * S:
             what, index = (
                 random.choice(("pause", "pause", "crash", "cut", "half")),
@@ -318,11 +318,11 @@
                 simulation.cut({index}, span, one_sided=random.random() < 0.5)
             else:
                 simulation.cut(set(random.sample(range(schedulers), schedulers // 3)), span)
-            net.call_at(net.now + span + int(random.uniform(1.0, 4.0) * S), fault)
+            net.call_at(net.now + span + int(random.uniform(1.0, 4.0) * S), inject_fault)
 
-    net.call_at(started_ns, change)
+    net.call_at(started_ns, submit_change)
     if not calm:
-        net.call_at(started_ns + 2 * S, fault)
+        net.call_at(started_ns + 2 * S, inject_fault)
     net.run(end + 6 * S)
     for index in range(burst):
         net.call_at(net.now + index * S // max(1, burst), simulation.request_change)
--- a/ladderhub/lab/mesh/changes.py
+++ b/ladderhub/lab/mesh/changes.py
@@ -127,7 +127,7 @@
         if step.what == "change":
             self._request_change(step.slot, bool(step.value))
         elif step.what == "forget":
-            (self.folder / self.name_of(step.slot) / RECORD_FILE).unlink()
+            (self.folder / self.get_name(step.slot) / RECORD_FILE).unlink()
         else:
             super().execute_step(step)
 
@@ -150,7 +150,7 @@
         self._send_request(slot, n.CMD_LIST, "current", [], on_current)
 
     def _send_request(self, slot: int, command: int, name: str, attrs: list[Attr], on_reply: Any) -> None:
-        client = BatchClient(self.loop, self.fleet.schedulers[self.name_of(slot)].public, "operator")
+        client = BatchClient(self.loop, self.fleet.schedulers[self.get_name(slot)].public, "operator")
         request = Request(n.MANAGER, name=name, attrs=attrs, command=command, object_type=n.OBJ_POLICY)
 
         def on_answer(reply: Reply | None) -> None:
--- a/ladderhub/lab/mesh/fleet.py
+++ b/ladderhub/lab/mesh/fleet.py
@@ -170,19 +170,19 @@
         """Executes one step of a day and records the fault."""
         slot, relay = step.slot, self.relay
         if step.what == "start":
-            self._start(slot)
+            self._start_or_retry(slot)
         elif step.what == "kill":
-            self._signal(slot, signal.SIGKILL)
+            self._send_signal(slot, signal.SIGKILL)
             self.note("over", slot=slot)
         elif step.what == "leave":
-            self._signal(slot, signal.SIGTERM)
+            self._send_signal(slot, signal.SIGTERM)
             self.note("over", slot=slot)
         elif step.what == "pause":
             self.note("paused", slot=slot)
-            self._signal(slot, signal.SIGSTOP)
+            self._send_signal(slot, signal.SIGSTOP)
         elif step.what == "go_on":
             self.note("woken", slot=slot)
-            self._signal(slot, signal.SIGCONT)
+            self._send_signal(slot, signal.SIGCONT)
         elif step.what == "net":
             relay.faults = step.value or Faults(delay_ns=(0, 0))
         elif step.what == "cut":
@@ -198,21 +198,21 @@
         elif step.what in ("twin", "usurp"):
             self._start_extra(slot, step.value, is_duplicate=step.what == "twin")
 
-    def name_of(self, slot: int) -> str:
+    def get_name(self, slot: int) -> str:
         return self._names[slot]
 
-    def _process(self, slot: int) -> Any:
+    def _get_process(self, slot: int) -> Any:
         return self.fleet.schedulers[self._names[slot]].process
 
-    def _signal(self, slot: int, number: int) -> None:
-        process = self._process(slot)
+    def _send_signal(self, slot: int, number: int) -> None:
+        process = self._get_process(slot)
         if process is not None and process.poll() is None:
             process.send_signal(number)
 
-    def _start(self, slot: int) -> None:
-        process = self._process(slot)
+    def _start_or_retry(self, slot: int) -> None:
+        process = self._get_process(slot)
         if process is not None and process.poll() is None:  # it is still shutting down
-            self.loop.call_later(10 * MS, self._start, slot)
+            self.loop.call_later(10 * MS, self._start_or_retry, slot)
             return
         self.note("began", slot=slot, name=self._names[slot])
         self.fleet.start_scheduler(self._names[slot])
@@ -231,7 +231,7 @@
     def close(self) -> None:
         for slot in self._names:
             if self._names[slot] in self.fleet.schedulers:
-                self._signal(slot, signal.SIGCONT)
+                self._send_signal(slot, signal.SIGCONT)
         self.fleet.close()
         self.relay.close()
 
--- a/ladderhub/lab/mesh/hollow.py
+++ b/ladderhub/lab/mesh/hollow.py
@@ -45,12 +45,12 @@
 
     def stop(self) -> int:
         """Stops the processes and returns their lowest active revision, or 0 if one left no result."""
-        self._signal(signal.SIGTERM)
+        self._send_signal(signal.SIGTERM)
         have_all_ended = self._fleet.run_until(
             lambda: all(process.poll() is not None for process in self._processes), STOP_TIMEOUT_NS
         )
         if not have_all_ended or not all(result_file.exists() for result_file in self._result_files):
-            self._signal(signal.SIGKILL)
+            self._send_signal(signal.SIGKILL)
             return 0
         results: list[HollowResult] = [
             msgspec.json.decode(result_file.read_bytes(), type=HollowResult)
@@ -58,7 +58,7 @@
         ]
         return min((result.revision_least for result in results), default=0)
 
-    def _signal(self, number: signal.Signals) -> None:
+    def _send_signal(self, number: signal.Signals) -> None:
         for process in self._processes:
             if process.poll() is None:
                 process.send_signal(number)
