--- a/ladderhub/lab/fleet.py
+++ b/ladderhub/lab/fleet.py
@@ -147,11 +147,11 @@
         self.nodes[name] = agent
         return agent
 
-    def crash_node(self, name: str, back_ns: int | None) -> None:
-        """Crash a node with all its jobs; restart it cold after `back_ns` if that is given."""
+    def crash_node(self, name: str, restart_after_ns: int | None) -> None:
+        """Crash a node with all its jobs; restart it cold after `restart_after_ns` if that is given."""
         self.nodes.pop(name).close()
-        if back_ns is not None:
-            self.loop.call_later(back_ns, self.start_node, name, True)
+        if restart_after_ns is not None:
+            self.loop.call_later(restart_after_ns, self.start_node, name, True)
 
     def get_rack(self, name: str) -> str:
         """Return the rack of a node."""
@@ -199,13 +199,13 @@
                 scheduler.ended.append, stdin=subprocess.DEVNULL, stdout=log, stderr=log,
             )  # fmt: skip
 
-    def kill_scheduler(self, name: str, back_ns: int | None) -> None:
-        """Kill a scheduler by SIGKILL; restart it after `back_ns` if that is given."""
+    def kill_scheduler(self, name: str, restart_after_ns: int | None) -> None:
+        """Kill a scheduler by SIGKILL; restart it after `restart_after_ns` if that is given."""
         process = self.schedulers[name].process
         if process is not None and process.poll() is None:
             process.send_signal(signal.SIGKILL)
-        if back_ns is not None:
-            self.loop.call_later(back_ns, self.start_scheduler, name)
+        if restart_after_ns is not None:
+            self.loop.call_later(restart_after_ns, self.start_scheduler, name)
 
     def is_up(self, name: str) -> bool:
         """Report whether a scheduler accepts connections."""
@@ -223,9 +223,9 @@
         while self.loop.now_ns() < until:
             self.loop.run_once(min(20 * MS, max(0, until - self.loop.now_ns())))
 
-    def run_until(self, done: Callable[[], bool], most_ns: int) -> bool:
+    def run_until(self, done: Callable[[], bool], timeout_ns: int) -> bool:
         """Run the loop until `done` returns true; return False on timeout."""
-        until = self.loop.now_ns() + most_ns
+        until = self.loop.now_ns() + timeout_ns
         while not done():
             if self.loop.now_ns() >= until:
                 return False
@@ -253,7 +253,7 @@
         }  # fmt: skip
 
     def run_command(
-        self, scheduler: str, argv: list[str], script: str = "", most_ns: int = 30 * S
+        self, scheduler: str, argv: list[str], script: str = "", timeout_ns: int = 30 * S
     ) -> tuple[int, str]:
         """Run a batch command while the loop runs; return its exit status and its output."""
         ended: list[int] = []
@@ -267,9 +267,9 @@
         assert process.stdin is not None
         process.stdin.write(script.encode())
         process.stdin.close()
-        if not self.run_until(lambda: bool(ended), most_ns):
+        if not self.run_until(lambda: bool(ended), timeout_ns):
             process.kill()
-            raise RuntimeError(f"{argv[0]} did not end within {most_ns / S:g} s")
+            raise RuntimeError(f"{argv[0]} did not end within {timeout_ns / S:g} s")
         text = path.read_text()
         path.unlink()
         return ended[0], text
--- a/ladderhub/lab/load.py
+++ b/ladderhub/lab/load.py
@@ -217,7 +217,7 @@
         spans = []
         for argv in (["qstat"], ["qstat", "-f"]):
             at = time.monotonic()
-            status, out = load_test.fleet.run_command("sched0", argv, most_ns=120 * S)
+            status, out = load_test.fleet.run_command("sched0", argv, timeout_ns=120 * S)
             spans.append(time.monotonic() - at)
             if status or out.count("\n") < jobs:
                 raise RuntimeError(f"{argv}: status {status}, {out.count(chr(10))} lines")
