--- a/ladderhub/platform/config.py
+++ b/ladderhub/platform/config.py
@@ -22,7 +22,7 @@
 MS = 1_000_000
 NEVER_NS = 1 << 62
 OWN_DESCRIPTORS = 12  # listener, selector, wake-up, standard streams, journal, a file
-SOCKETS_LEAST = 4 * OWN_DESCRIPTORS  # a quarter then goes to machines, half to owners
+MIN_SOCKETS = 4 * OWN_DESCRIPTORS  # a quarter then goes to machines, half to owners
 
 
 class ConfigError(LadderhubError):
@@ -66,19 +66,19 @@
     names: NameIndex
     known: tuple[JournalEvent, ...]
     pos: int
-    connect_ns: int
-    idle_ns: int  # machines close connections that were left idle for so long
-    dials_cost: bool  # new connections to machines are paid for
+    connect_timeout_ns: int
+    idle_timeout_ns: int  # machines close connections that were left idle for so long
+    has_connection_price: bool  # new connections to machines are paid for
 
 
-def address_of(text: str, where: str) -> Address:
+def read_address(text: str, where: str) -> Address:
     try:
         return parse_address(text)
     except ValueError as fault:
         raise ConfigError(str(fault), where=where) from None
 
 
-def load(environment: Mapping[str, str]) -> Config:
+def load_config(environment: Mapping[str, str]) -> Config:
     """Read the file that PROXY_CONFIG names; PROXY_NAME and PROXY_LISTEN go before what it says."""
     path = environment.get("PROXY_CONFIG", "")
     if not path:
@@ -101,26 +101,26 @@
         raise ConfigError(str(fault), where=f"{path}: settings") from None
     # On sockets a dial that came to nothing is no attempt: nobody has seen the set-up.
     settings = replace(settings, unreached_count=False)
-    if file.limits.sockets < SOCKETS_LEAST:
-        where, meant = f"{path}: limits.sockets", f"at least {SOCKETS_LEAST}"
+    if file.limits.sockets < MIN_SOCKETS:
+        where, meant = f"{path}: limits.sockets", f"at least {MIN_SOCKETS}"
         raise ConfigError(f"found {file.limits.sockets}", where=where, expected=meant)
     return Config(
         name=environment.get("PROXY_NAME") or file.name,
-        listen=address_of(listen, "PROXY_LISTEN"),
-        journal=address_of(file.journal, f"{path}: journal"),
-        seed=_seed(file.seed, path),
+        listen=read_address(listen, "PROXY_LISTEN"),
+        journal=read_address(file.journal, f"{path}: journal"),
+        seed=_parse_seed(file.seed, path),
         sockets=file.limits.sockets,
         settings=settings,
         names=names,
         known=tuple(event_of(entry) for entry in file.known.entries),
         pos=file.known.pos,
-        dials_cost=bool(prices.get("handshake")),
-        connect_ns=int(limits.get("dial-timeout-ns") or 250 * MS),
-        idle_ns=int(limits.get("conn-idle-ns") or NEVER_NS),
+        has_connection_price=bool(prices.get("handshake")),
+        connect_timeout_ns=int(limits.get("dial-timeout-ns") or 250 * MS),
+        idle_timeout_ns=int(limits.get("conn-idle-ns") or NEVER_NS),
     )
 
 
-def _seed(value: str | int, path: str) -> int:
+def _parse_seed(value: str | int, path: str) -> int:
     try:
         return value if isinstance(value, int) else int(value or "0", 16)
     except ValueError:
--- a/ladderhub/platform/eviction.py
+++ b/ladderhub/platform/eviction.py
@@ -12,9 +12,9 @@
     chosen to tell an end whose own connection is lost."""
 
     NONE = 0
-    TESTED = 1  # a whole message that made sense came
-    ASKED = 2  # a set-up that made sense came
-    CARRIED = 3  # a task of its owner has stood
+    VALID_MESSAGE = 1  # a whole message that made sense came
+    VALID_SETUP = 2  # a set-up that made sense came
+    HAD_TASK = 3  # a task of its owner has stood
 
 
 AnyCaller = TypeVar("AnyCaller")
@@ -28,13 +28,13 @@
         self._callers: tuple[dict[AnyCaller, None], ...] = tuple({} for _ in Trust)
         self._trust: dict[AnyCaller, Trust] = {}
 
-    def heard(self, caller: AnyCaller, trust: Trust) -> None:
+    def update(self, caller: AnyCaller, trust: Trust) -> None:
         """It came, said something, or has shown more than before."""
-        self.forget(caller)
+        self.remove(caller)
         self._trust[caller] = trust
         self._callers[trust][caller] = None
 
-    def forget(self, caller: AnyCaller) -> None:
+    def remove(self, caller: AnyCaller) -> None:
         """It is closed."""
         trust = self._trust.pop(caller, None)
         if trust is not None:
--- a/ladderhub/platform/ownerconn.py
+++ b/ladderhub/platform/ownerconn.py
@@ -8,7 +8,7 @@
 
 from ladderhub.loop import Loop, Stream
 from ladderhub.platform.eviction import Trust
-from ladderhub.platform.reading import is_handover
+from ladderhub.platform.setup_parser import is_handover
 from ladderhub.platform.report import Report
 from ladderhub.platform.task import Task
 from ladderhub.platform.tasks import Tasks
@@ -18,159 +18,159 @@
 MS = 1_000_000
 # A set-up counts as taken once its last byte is written, read or not.  So after what can't be used a
 # connection is still read for as long as a set-up may cross its close, and each is told that it failed.
-CROSSING_NS = 50 * MS
-PORTION = MESSAGE_MOST  # bytes of one connection that are read at a time
-LOOK_MOST = 64 * PORTION  # and that are read before a task of its owner is sent on
+CLOSE_RACE_NS = 50 * MS
+READ_BYTES = MESSAGE_MOST  # bytes of one connection that are read at a time
+MAX_PENDING_READ_BYTES = 64 * READ_BYTES  # and that are read before a task of its owner is sent on
 
 
-class Door(Protocol):
+class OwnerConnHandler(Protocol):
     """What a connection needs of the door that it came through."""
 
     loop: Loop
     report: Report
     tasks: Tasks
 
-    def unseen_since_ns(self) -> int: ...
+    def get_waited_since_ns(self) -> int: ...
 
-    def hear(self, conn: OwnerConn, message: Message) -> None: ...
+    def on_message(self, conn: OwnerConn, message: Message) -> None: ...
 
-    def heard(self, conn: OwnerConn) -> None:
+    def on_activity(self, conn: OwnerConn) -> None:
         """It said something, or has shown more than before."""
 
-    def forget(self, conn: OwnerConn) -> None:
+    def remove_conn(self, conn: OwnerConn) -> None:
         """Nothing more is taken from it."""
 
-    def closing(self, conn: OwnerConn) -> None:
+    def on_closing(self, conn: OwnerConn) -> None:
         """What was written to it may not have left yet."""
 
-    def closed(self, conn: OwnerConn) -> None: ...
+    def on_closed(self, conn: OwnerConn) -> None: ...
 
-    def tell_elsewhere(self, lost: OwnerConn) -> None: ...
+    def resend_lost(self, lost: OwnerConn) -> None: ...
 
 
 class OwnerConn:
     """One connection of an owner."""
 
-    def __init__(self, door: Door, sock: socket.socket) -> None:
-        self.door = door
-        self.since_ns = self.heard_ns = door.loop.now_ns()
+    def __init__(self, server: OwnerConnHandler, sock: socket.socket) -> None:
+        self.server = server
+        self.opened_ns = self.last_heard_ns = server.loop.now_ns()
         self.trust = Trust.NONE
-        self.partial_ns = 0  # since when a line is unfinished
-        self._unread_ns = 0  # where bytes lie unread, since when they may
-        self.read_ns = self.since_ns  # what was read last had come by then at the earliest
-        self.open: dict[str, Task] = {}
+        self.partial_since_ns = 0  # since when a line is unfinished
+        self._unread_since_ns = 0  # where bytes lie unread, since when they may
+        self.earliest_arrival_ns = self.opened_ns  # what was read last had come by then at the earliest
+        self.open_tasks: dict[str, Task] = {}
         self._inbox: deque[Message | SignalError] = deque()  # read, and not yet acted on
         self.alive = True  # False once it is closed or about to be
         self.reader = LineReader()
-        self.stream = Stream(door.loop, sock, self, read_most=PORTION)
+        self.stream = Stream(server.loop, sock, self, read_most=READ_BYTES)
         self.peer = self.stream.peer().rpartition(":")[0]
         if self.stream.unread():
-            self._unread_ns = door.unseen_since_ns()  # they came while it waited to be accepted
+            self._unread_since_ns = server.get_waited_since_ns()  # they came while it waited to be accepted
 
     def on_data(self, stream: Stream, data: bytes) -> None:
-        self.heard_ns = self.door.loop.now_ns()
-        self.read_ns = self._unread_ns or self.door.loop.unseen_since_ns(stream.fileno())
-        self._unread_ns = self.read_ns if len(data) >= PORTION else 0
+        self.last_heard_ns = self.server.loop.now_ns()
+        self.earliest_arrival_ns = self._unread_since_ns or self.server.loop.unseen_since_ns(stream.fileno())
+        self._unread_since_ns = self.earliest_arrival_ns if len(data) >= READ_BYTES else 0
         found, end = self.reader.feed(data)
         self._inbox.extend(found)
-        self._act()
+        self._handle_inbox()
         if self.alive:
-            self.door.heard(self)
+            self.server.on_activity(self)
         if not self.alive:
             if end is not None:
                 stream.close()
         elif end is not None:
-            self.door.report.line("owner.unreadable", peer=self.peer, why=str(end)[:120])
-            self.shut("unreadable", CROSSING_NS)
+            self.server.report.line("owner.unreadable", peer=self.peer, why=str(end)[:120])
+            self.close("unreadable", CLOSE_RACE_NS)
         if not self.reader.pending():
-            self.partial_ns = 0
-        elif found or not self.partial_ns:
-            self.partial_ns = self.heard_ns
+            self.partial_since_ns = 0
+        elif found or not self.partial_since_ns:
+            self.partial_since_ns = self.last_heard_ns
 
-    def _act(self) -> None:
+    def _handle_inbox(self) -> None:
         while self._inbox:
             each = self._inbox.popleft()
             if not self.alive:
-                self._take_last(each)
+                self._handle_while_closing(each)
             elif isinstance(each, SignalError):
-                self.turn_away(each)
+                self.reject(each)
             else:
-                self.door.hear(self, each)
+                self.server.on_message(self, each)
 
-    def look(self) -> None:
+    def read_pending(self) -> None:
         """Act on all that has come.
 
         Danger: behind bytes not read yet lies that the owner takes its set-up back, or its end; what is sent
         on after that is for nobody.  So this is done before each attempt, also where reading is paused."""
-        self._act()
-        self.stream.read_now(LOOK_MOST)
+        self._handle_inbox()
+        self.stream.read_now(MAX_PENDING_READ_BYTES)
 
-    def turn_away(self, fault: SignalError) -> None:
+    def reject(self, fault: SignalError) -> None:
         """A message that can't be used: its sender is told, and its connection closed."""
-        self.door.report.line("owner.turned_away", peer=self.peer, why=str(fault)[:120])
+        self.server.report.line("owner.turned_away", peer=self.peer, why=str(fault)[:120])
         if fault.id:
-            twin = self.open.pop(fault.id, None)
+            twin = self.open_tasks.pop(fault.id, None)
             self._write(Message(Kind.RELEASE, fault.id, Cause.INVALID))
             if twin is not None:
-                self.door.tasks.give_up(twin)
-        self.shut("turned away", CROSSING_NS)
+                self.server.tasks.give_up(twin)
+        self.close("turned away", CLOSE_RACE_NS)
 
-    def _take_last(self, each: Message | SignalError) -> None:
+    def _handle_while_closing(self, each: Message | SignalError) -> None:
         """What is read on a connection that is about to be closed: new set-ups fail, but what it says of
         tasks that stand holds, as no connection owns these."""
         if isinstance(each, SignalError):
             self._write(Message(Kind.RELEASE, each.id, Cause.INVALID))
         elif each.kind in (Kind.RELEASE, Kind.RELEASED) or is_handover(each):
-            self.door.hear(self, each)
+            self.server.on_message(self, each)
         elif each.kind is Kind.SETUP:
             self._write(Message(Kind.RELEASE, each.id, Cause.INVALID))
 
-    def shut(self, why: str, linger_ns: int = 0) -> None:
+    def close(self, why: str, linger_ns: int = 0) -> None:
         """Close, after lingering so long; each set-up that is open on it fails."""
         if not self.alive:
             return
-        for id in list(self.open):
+        for id in list(self.open_tasks):
             self._write(Message(Kind.RELEASE, id, Cause.BROKEN))
-        self._ended(why)
-        self.door.closing(self)
+        self._disconnect(why)
+        self.server.on_closing(self)
         if linger_ns:
-            self.door.loop.call_later(linger_ns, self.stream.close)
+            self.server.loop.call_later(linger_ns, self.stream.close)
         else:
             self.stream.close()
 
     def on_closed(self, stream: Stream, fault: BaseException | None) -> None:
-        self._ended(repr(fault)[:80])
-        self.door.closed(self)
+        self._disconnect(repr(fault)[:80])
+        self.server.on_closed(self)
 
-    def _ended(self, why: str) -> None:
+    def _disconnect(self, why: str) -> None:
         if not self.alive:
             return
         self.alive = False
-        self.door.forget(self)
-        if self.open:
-            self.door.report.line("owner.closed", peer=self.peer, why=why, open=len(self.open))
-        left, self.open = self.open, {}
+        self.server.remove_conn(self)
+        if self.open_tasks:
+            self.server.report.line("owner.closed", peer=self.peer, why=why, open=len(self.open_tasks))
+        left, self.open_tasks = self.open_tasks, {}
         for task in left.values():
-            self.door.tasks.give_up(task)
-        self.door.tell_elsewhere(self)
+            self.server.tasks.give_up(task)
+        self.server.resend_lost(self)
 
-    def put(self, message: Message) -> None:
+    def send(self, message: Message) -> None:
         if message.kind in (Kind.ANSWER, Kind.RELEASE):
-            self.open.pop(message.id, None)
+            self.open_tasks.pop(message.id, None)
             if message.kind is Kind.ANSWER and self.alive:
-                self.trust = Trust.CARRIED
-                self.door.heard(self)
+                self.trust = Trust.HAD_TASK
+                self.server.on_activity(self)
         if self.alive:
             self._write(message)
 
     def _write(self, message: Message) -> None:
         self.stream.write(encode_line(message))
 
-    def silent_since_ns(self, now: int) -> int:
+    def get_silent_since_ns(self, now: int) -> int:
         """Since when it has said nothing whole; now, where nothing is missing."""
-        return self.since_ns if self.trust is Trust.NONE else self.partial_ns or now
+        return self.opened_ns if self.trust is Trust.NONE else self.partial_since_ns or now
 
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Nothing is open on it, and nothing has come that was not read yet: a set-up counts as taken once it
         was written, and closing over it would lose it."""
-        return not self.open and not self.stream.unread()
+        return not self.open_tasks and not self.stream.unread()
--- a/ladderhub/platform/report.py
+++ b/ladderhub/platform/report.py
@@ -12,9 +12,9 @@
 
 S = 1_000_000_000
 STANDARD_ERROR = 2
-KEPT_MOST = 256 * 1024  # bytes of lines that wait for a slow reader
-BY_MACHINE = "at."  # counts of attempts at one machine begin so
-LINES_MOST = 20  # of one event a second; more are counted in the next second's line
+MAX_BUFFERED_BYTES = 256 * 1024  # bytes of lines that wait for a slow reader
+MACHINE_COUNT_PREFIX = "at."  # counts of attempts at one machine begin so
+MAX_LINES_PER_SECOND = 20  # of one event a second; more are counted in the next second's line
 
 
 class Report:
@@ -24,11 +24,11 @@
         self.counts: Counter[str] = Counter()
         self.gauges: dict[str, Callable[[], object]] = {}
         self._now_ns = now_ns
-        outlet = Outlet(STANDARD_ERROR)
-        self._write = write or outlet.write
-        self.gauges["log_dropped"] = lambda: outlet.dropped
-        self._second = -1
-        self._lines: Counter[str] = Counter()
+        log_writer = LogWriter(STANDARD_ERROR)
+        self._write = write or log_writer.write
+        self.gauges["log_dropped"] = lambda: log_writer.dropped
+        self._current_second = -1
+        self._line_counts: Counter[str] = Counter()
 
     def count(self, what: str, amount: int = 1) -> None:
         self.counts[what] += amount
@@ -36,12 +36,12 @@
     def line(self, event: str, **fields: object) -> None:
         """An unusual event; past the bound of a second it is only counted."""
         now = self._now_ns()
-        if now // S != self._second:
-            self._second, self._lines = now // S, Counter()
-        self._lines[event] += 1
+        if now // S != self._current_second:
+            self._current_second, self._line_counts = now // S, Counter()
+        self._line_counts[event] += 1
         self.counts["log." + event] += 1
-        if self._lines[event] <= LINES_MOST:
-            self._put({"at": now // 1_000_000, "event": event} | fields)
+        if self._line_counts[event] <= MAX_LINES_PER_SECOND:
+            self._write_row({"at": now // 1_000_000, "event": event} | fields)
 
     def trouble(self, where: str, fault: BaseException) -> None:
         """An exception that nobody expected."""
@@ -49,54 +49,54 @@
         places = [f"{frame.name}:{frame.lineno}" for frame in last]
         self.line("trouble", where=where, fault=f"{type(fault).__name__}: {fault}"[:300], places=places)
 
-    def second(self) -> None:
+    def write_second(self) -> None:
         """The lines of each second: the gauges and what was counted since the last one; then the attempts by
         machine, a line of their own, since in a large fleet they are most of it."""
         at_ms = self._now_ns() // 1_000_000
         counts, self.counts = self.counts, Counter()
         row: dict[str, object] = {"at": at_ms, "event": "second"}
         row |= {name: call() for name, call in self.gauges.items()}
-        by_machine = {name: count for name, count in counts.items() if name.startswith(BY_MACHINE)}
+        by_machine = {name: count for name, count in counts.items() if name.startswith(MACHINE_COUNT_PREFIX)}
         row["counts"] = {name: counts[name] for name in sorted(counts) if name not in by_machine}
-        self._put(row)
+        self._write_row(row)
         if by_machine:
-            self._put({"at": at_ms, "event": "machines", "counts": by_machine})
+            self._write_row({"at": at_ms, "event": "machines", "counts": by_machine})
 
-    def _put(self, row: dict[str, object]) -> None:
+    def _write_row(self, row: dict[str, object]) -> None:
         self._write(msgspec.json.encode(row, enc_hook=repr) + b"\n")
 
 
-class Outlet:
+class LogWriter:
     """Writes lines to a descriptor that is shared with others, and so stays a blocking one.
 
     A reader that is slow or gone must not hold up or end the scheduler: lines wait for it within a bound, and
     those beyond are dropped and counted."""
 
     def __init__(self, fd: int) -> None:
-        self._fd, self._rest = fd, b""
+        self._fd, self._buffer = fd, b""
         self._poll = select.poll()
         self._poll.register(fd, select.POLLOUT)
         self.dropped = 0
 
-    def waiting(self) -> int:
+    def count_buffered(self) -> int:
         """Bytes that have not left yet."""
-        return len(self._rest)
+        return len(self._buffer)
 
     def write(self, line: bytes) -> None:
         """Write one line, now or as the reader takes it."""
-        if len(self._rest) + len(line) > KEPT_MOST:
+        if len(self._buffer) + len(line) > MAX_BUFFERED_BYTES:
             self.dropped += 1
         else:
-            self._rest += line
+            self._buffer += line
         self.flush()
 
     def flush(self) -> None:
         """Write what can be written without waiting: a pipe that takes anything takes PIPE_BUF bytes."""
         try:
-            while self._rest and self._poll.poll(0):
-                self._rest = self._rest[os.write(self._fd, self._rest[: select.PIPE_BUF]) :]
+            while self._buffer and self._poll.poll(0):
+                self._buffer = self._buffer[os.write(self._fd, self._buffer[: select.PIPE_BUF]) :]
         except BlockingIOError:
             return
         except OSError:
-            self.dropped += self._rest.count(b"\n")
-            self._rest = b""
+            self.dropped += self._buffer.count(b"\n")
+            self._buffer = b""
--- a/ladderhub/platform/service.py
+++ b/ladderhub/platform/service.py
@@ -17,10 +17,10 @@
 from ladderhub.loop import Loop
 from ladderhub.loop.listener import ACCEPT_MOST
 from ladderhub.loop.stream import Address
-from ladderhub.platform.config import OWN_DESCRIPTORS, Config, ConfigError, address_of, load
-from ladderhub.platform.follower import Follower
+from ladderhub.platform.config import OWN_DESCRIPTORS, Config, ConfigError, read_address, load_config
+from ladderhub.platform.follower import JournalFollower
 from ladderhub.platform.links import Links
-from ladderhub.platform.owners import OwnerDoor
+from ladderhub.platform.owners import OwnerServer
 from ladderhub.platform.report import Report
 from ladderhub.platform.tasks import Tasks
 from ladderhub.signalling import JournalEvent
@@ -31,15 +31,17 @@
 # After SIGTERM connections come for 0.2 to 0.4 s and set-ups on open ones for 0.2 s more; what comes within
 # 0.7 s is owed an answer.  SIGKILL comes no sooner than the longest deadline after that, or 3 s where that is
 # longer.  What is open a little before that time is answered, so that the answers have left by then.
-STILL_COMING_NS = 700 * MS
-STOP_MOST_NS = 3 * S
-STOP_EARLY_NS = 200 * MS
-LOOK_NS = 50 * MS
+ACCEPT_AFTER_STOP_NS = 700 * MS
+MAX_STOP_NS = 3 * S
+STOP_MARGIN_NS = 200 * MS
+STOP_CHECK_INTERVAL_NS = 50 * MS
 # The port may be held by a predecessor that is still ending, and a file be read while it is being written.
-AGAIN_NS = 100 * MS
-BIND_MOST_NS = 20 * S
-RELOAD_MOST_NS = 2 * S
-OWNERS_SHARE = 2  # owners hold a third of the descriptors at most; half leaves room for strangers
+RETRY_INTERVAL_NS = 100 * MS
+BIND_TIMEOUT_NS = 20 * S
+RELOAD_TIMEOUT_NS = 2 * S
+OWNER_CONNECTIONS_DIVISOR = (
+    2  # owners hold a third of the descriptors at most; half leaves room for strangers
+)
 
 
 class Service:
@@ -48,74 +50,80 @@
     def __init__(self, loop: Loop, config: Config, report: Report) -> None:
         self._loop, self._config, self._report = loop, config, report
         self.tasks = Tasks(loop, Scheduler(config.settings, config.seed), report)
-        owners = config.sockets // OWNERS_SHARE
-        machines = config.sockets - owners - OWN_DESCRIPTORS
+        owner_limit = config.sockets // OWNER_CONNECTIONS_DIVISOR
+        machine_limit = config.sockets - owner_limit - OWN_DESCRIPTORS
         # Machines have the rest for sure, and what owners don't use, less a round of new callers; for each
         # of those a connection to a machine is let go.
         spare = config.sockets - OWN_DESCRIPTORS - ACCEPT_MOST
         self.links = Links(
-            loop, report, self.tasks, config.connect_ns, config.idle_ns,
-            max_connections=lambda: max(machines, spare - self.door.count()),
-            free_descriptors=lambda: machines + owners - self.door.count() - self.links.connection_count,
-            share_connections=config.dials_cost,
+            loop, report, self.tasks, config.connect_timeout_ns, config.idle_timeout_ns,
+            max_connections=lambda: max(machine_limit, spare - self.owners.count_connections()),
+            free_descriptors=lambda: (
+                machine_limit + owner_limit - self.owners.count_connections() - self.links.connection_count
+            ),
+            share_connections=config.has_connection_price,
         )  # fmt: skip
-        self.tasks.join(self.links)
-        self.door = OwnerDoor(loop, report, self.tasks, config.names, config.settings, owners)
-        self.follower = Follower(loop, report, config.journal, config.pos, config.connect_ns, self.take)
-        self.door.on_accepted = self.links.trim
-        self.tasks.placing.unread_ns = lambda: max(loop.unread_ns(), self.door.unaccepted_ns())
-        self.follower.on_caught_up = self.door.pass_tests
-        self.tasks.look_at_list = self.follower.look
-        self._until_ns = self._late_ms = self._second_ns = self._unread_ms = 0
-        self._cpu_s, self._quiet = 0.0, False
-        self.failed: OSError | None = None  # why the loop was ended, where that was no stop
+        self.tasks.set_links(self.links)
+        self.owners = OwnerServer(loop, report, self.tasks, config.names, config.settings, owner_limit)
+        self.follower = JournalFollower(
+            loop, report, config.journal, config.pos, config.connect_timeout_ns, self.apply_event
+        )
+        self.owners.on_accepted = self.links.trim
+        self.tasks.placing.get_unread_ns = lambda: max(loop.unread_ns(), self.owners.get_unaccepted_ns())
+        self.follower.on_caught_up = self.owners.start_answering_pings
+        self.tasks.read_journal = self.follower.read_pending
+        self._stop_deadline_ns = self._late_ms = self._next_second_ns = self._unread_ms = 0
+        self._cpu_s, self._nothing_owed = 0.0, False
+        self.bind_error: OSError | None = None  # why the loop was ended, where that was no stop
         # First what tells whether the process keeps up, since readers of the log may cut long lines.
-        report.gauges = self._pace_gauges() | report.gauges
+        report.gauges = self._make_pace_gauges() | report.gauges
         report.gauges |= {
             "machines": lambda: self.links.connection_count,
-            "descriptors": lambda: self.links.connection_count + self.door.count() + OWN_DESCRIPTORS,
-            "rss_mb": _resident_mb,
+            "descriptors": lambda: self.links.connection_count
+            + self.owners.count_connections()
+            + OWN_DESCRIPTORS,
+            "rss_mb": _read_resident_mb,
             "timers": loop.pending_timers,
         }
 
     def start(self) -> None:
         """Take the list, open the door, follow the journal; OSError where the address can't be had."""
         for event in self._config.known:
-            self.take(event)
+            self.apply_event(event)
         self.follower.start()
-        self._bind_until_ns = self._loop.now_ns() + BIND_MOST_NS
+        self._bind_deadline_ns = self._loop.now_ns() + BIND_TIMEOUT_NS
         try:
-            self.door.start(self._config.listen)
+            self.owners.start(self._config.listen)
         except OSError as fault:
             if fault.errno != errno.EADDRINUSE:
                 raise
             self._report.line("listen.taken", listen=self._config.listen)
-            self._loop.call_later(AGAIN_NS, self._bind_again)
+            self._loop.call_later(RETRY_INTERVAL_NS, self._retry_bind)
         else:
-            self._ready()
+            self._report_ready()
 
-    def _bind_again(self) -> None:
-        if self._until_ns:
+    def _retry_bind(self) -> None:
+        if self._stop_deadline_ns:
             return
         try:
-            self.door.start(self._config.listen)
+            self.owners.start(self._config.listen)
         except OSError as fault:
-            if self._loop.now_ns() >= self._bind_until_ns:
-                self.failed = fault
+            if self._loop.now_ns() >= self._bind_deadline_ns:
+                self.bind_error = fault
                 self._loop.stop()
             else:
-                self._loop.call_later(AGAIN_NS, self._bind_again)
+                self._loop.call_later(RETRY_INTERVAL_NS, self._retry_bind)
         else:
-            self._ready()
+            self._report_ready()
 
-    def _ready(self) -> None:
-        self._second_ns = self._loop.now_ns() + S
-        self._loop.call_at(self._second_ns, self._second)
+    def _report_ready(self) -> None:
+        self._next_second_ns = self._loop.now_ns() + S
+        self._loop.call_at(self._next_second_ns, self._on_second)
         self._report.line("ready", name=self._config.name, listen=self._config.listen, pos=self._config.pos)
 
     # --- the list -----------------------------------------------------------------------------------------
 
-    def take(self, event: JournalEvent) -> None:
+    def apply_event(self, event: JournalEvent) -> None:
         """One event of the journal service."""
         if event.rows is None:
             return
@@ -124,7 +132,7 @@
         spoilt = list(event.spoilt)
         for row in event.rows:
             try:
-                entry, address = self._config.names.to_machine_entry(row), address_of(row.address, row.name)
+                entry, address = self._config.names.to_machine_entry(row), read_address(row.address, row.name)
             except (FieldError, ConfigError) as fault:
                 spoilt.append((row.name, str(fault)))
                 continue
@@ -140,7 +148,7 @@
                 addresses.append(link.address)
         # The module hears it first: what the links then give back goes to machines that it knows to serve.
         kind = api.ListKind.FULL if event.full else api.ListKind.CHANGES
-        self.tasks.tell_list(api.MachineList(kind, event.pos, tuple(entries)))
+        self.tasks.report_machine_list(api.MachineList(kind, event.pos, tuple(entries)))
         if event.full:
             self.links.remove_unlisted({entry.machine for entry in entries})
         for entry, address in zip(entries, addresses, strict=True):
@@ -151,92 +159,96 @@
 
     def reload(self) -> None:
         """SIGHUP: read the file again.  Whatever is wrong with it, the old one stays in force."""
-        self._reload(self._loop.now_ns() + RELOAD_MOST_NS, told=False)
+        self._reload(self._loop.now_ns() + RELOAD_TIMEOUT_NS, logged=False)
 
-    def _reload(self, until_ns: int, told: bool) -> None:
+    def _reload(self, until_ns: int, logged: bool) -> None:
         try:
-            fresh = load(os.environ)
+            fresh = load_config(os.environ)
         except ConfigError as fault:
             # It may have been read while it was being written; who wrote it need not signal again.
-            if not told:
+            if not logged:
                 self._report.line("reload.refused", why=str(fault)[:200])
             if self._loop.now_ns() < until_ns:
-                self._loop.call_later(AGAIN_NS, self._reload, until_ns, True)
+                self._loop.call_later(RETRY_INTERVAL_NS, self._reload, until_ns, True)
             return
         # Only the journal's address can change in service; whatever else differs waits for the next start.
         fixed = ("name", "listen", "sockets", "settings")
         kept = [name for name in fixed if getattr(fresh, name) != getattr(self._config, name)]
         self._report.line("reload", journal=fresh.journal, kept=kept)
-        self.follower.move(fresh.journal)
+        self.follower.set_address(fresh.journal)
 
     def stop(self) -> None:
         """SIGTERM: serve while set-ups may come, answer what is open, end.  A second call changes nothing."""
-        if not self._until_ns:
+        if not self._stop_deadline_ns:
             longest = max(klass.deadline_ns for klass in self._config.settings.classes)
-            most = STILL_COMING_NS + min(longest, STOP_MOST_NS) - STOP_EARLY_NS
-            self._until_ns = self._loop.now_ns() + most
-            self.door.stop()
-            self._report.line("stopping", open=self.tasks.open)
-            self._loop.call_later(STILL_COMING_NS, self._settle)
+            most = ACCEPT_AFTER_STOP_NS + min(longest, MAX_STOP_NS) - STOP_MARGIN_NS
+            self._stop_deadline_ns = self._loop.now_ns() + most
+            self.owners.stop()
+            self._report.line("stopping", open=self.tasks.open_count)
+            self._loop.call_later(ACCEPT_AFTER_STOP_NS, self._stop_accepting)
 
-    def _settle(self) -> None:
-        self.door.settle()
-        self._look_settled()
+    def _stop_accepting(self) -> None:
+        self.owners.stop_accepting()
+        self._check_stopped()
 
-    def _look_settled(self) -> None:
+    def _check_stopped(self) -> None:
         """End once nothing is owed any more, or when there is no more time."""
         now = self._loop.now_ns()
-        if now >= self._until_ns:
-            self.tasks.answer_now()
+        if now >= self._stop_deadline_ns:
+            self.tasks.answer_all()
         # An end that lies unread now could not be told once the owners' connections are closed.
         self.links.read_pending()
-        owed = {"answers": self.tasks.open} | self.door.owes() | {"to_machines": self.links.count_unsent()}
-        latest_ns = self._until_ns + STOP_EARLY_NS // 2
-        if now < latest_ns and (any(owed.values()) or not self._quiet):
+        owed = (
+            {"answers": self.tasks.open_count}
+            | self.owners.count_owed()
+            | {"to_machines": self.links.count_unsent()}
+        )
+        latest_ns = self._stop_deadline_ns + STOP_MARGIN_NS // 2
+        if now < latest_ns and (any(owed.values()) or not self._nothing_owed):
             # One look more after the last answer: closing over what its owner says to it would reset it.
-            self._quiet = not any(owed.values())
-            self._loop.call_later(LOOK_NS, self._look_settled)
+            self._nothing_owed = not any(owed.values())
+            self._loop.call_later(STOP_CHECK_INTERVAL_NS, self._check_stopped)
             return
-        if now < latest_ns and not self.door.close_read():
-            self._loop.call_later(LOOK_NS, self._look_settled)
+        if now < latest_ns and not self.owners.close_idle():
+            self._loop.call_later(STOP_CHECK_INTERVAL_NS, self._check_stopped)
             return
-        self.door.close()
+        self.owners.close()
         self.links.close()
         self._report.line("stopped", **owed)
         self._loop.stop()
 
     # --- figures ------------------------------------------------------------------------------------------
 
-    def _second(self) -> None:
+    def _on_second(self) -> None:
         now = self._loop.now_ns()
-        self._late_ms = (now - self._second_ns) // MS
-        self._second_ns = max(now, self._second_ns) + S
-        self._loop.call_at(self._second_ns, self._second)
-        self._report.second()
+        self._late_ms = (now - self._next_second_ns) // MS
+        self._next_second_ns = max(now, self._next_second_ns) + S
+        self._loop.call_at(self._next_second_ns, self._on_second)
+        self._report.write_second()
 
-    def _pace_gauges(self) -> dict[str, Callable[[], object]]:
+    def _make_pace_gauges(self) -> dict[str, Callable[[], object]]:
         """Milliseconds of this second that show whether the process keeps up with what it is told."""
         return {
             "late_ms": lambda: self._late_ms,
-            "cpu_ms": self._cpu_ms,
-            "round_ms": self._round_ms,
+            "cpu_ms": self._take_cpu_ms,
+            "round_ms": self._take_round_ms,
             "unread_ms": lambda: self._unread_ms,
-            "accept_ms": self.door.take_longest_wait_ms,
-            "unheard": self.door.unheard,
+            "accept_ms": self.owners.take_longest_wait_ms,
+            "unheard": self.owners.count_unconfirmed,
             "held": lambda: len(self.tasks.module.waiting_tasks),
         }
 
-    def _round_ms(self) -> int:
+    def _take_round_ms(self) -> int:
         round_ns, unread_ns = self._loop.take_longest_ns()
         self._unread_ms = unread_ns // MS
         return round_ns // MS
 
-    def _cpu_ms(self) -> int:
+    def _take_cpu_ms(self) -> int:
         spent, self._cpu_s = time.process_time() - self._cpu_s, time.process_time()
         return round(spent * 1000)
 
 
-def _resident_mb() -> float:
+def _read_resident_mb() -> float:
     try:
         with open("/proc/self/statm") as file:
             return round(int(file.read().split()[1]) * resource.getpagesize() / 1e6, 1)
@@ -257,7 +269,7 @@
     loop.on_signal(signal.SIGHUP, lambda: service[0].reload())
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP, signal.SIGINT, signal.SIGTERM})
     try:
-        config = load(os.environ)
+        config = load_config(os.environ)
         service.append(Service(loop, config, report))
         service[0].start()
     except ConfigError as fault:
@@ -270,7 +282,7 @@
     gc.freeze()
     loop.run()
     loop.ignore_signals()
-    if service[0].failed is not None:
-        print(f"ladderhub: PROXY_LISTEN: {service[0].failed}", file=sys.stderr)
+    if service[0].bind_error is not None:
+        print(f"ladderhub: PROXY_LISTEN: {service[0].bind_error}", file=sys.stderr)
         sys.exit(1)
     sys.exit(0)
--- a/ladderhub/platform/reading.py
+++ b/ladderhub/platform/setup_parser.py
@@ -9,13 +9,13 @@
 
 from ladderhub import interface as api
 from ladderhub.platform.mapping import NameIndex
-from ladderhub.platform.task import Asked
+from ladderhub.platform.task import SetupRequest
 from ladderhub.signalling import Kind, Message, SignalError
 
 MS = 1_000_000
 
 
-def read_setup(message: Message, names: NameIndex, settings: api.Settings) -> Asked:
+def parse_setup(message: Message, names: NameIndex, settings: api.Settings) -> SetupRequest:
     """A set-up's fields, checked; SignalError says which one makes no sense."""
     fields, id = message.fields, message.id
     klass_name, tenant = str(fields.get("class", "")), str(fields.get("tenant", ""))
@@ -23,10 +23,10 @@
         raise SignalError(f"class: {klass_name[:40]!r} is none", id)
     if names.tenants and tenant not in names.tenants:
         raise SignalError(f"tenant: {tenant[:40]!r} is none", id)
-    extras = _parts(str(fields.get("extras", "")))
+    extras = _parse_extras(str(fields.get("extras", "")))
     klass = names.classes[klass_name]
-    most_cores = max((kind.cores for kind in settings.kinds), default=math.inf) * settings.admit_cores
-    most_memory = max((kind.memory for kind in settings.kinds), default=math.inf) * settings.admit_memory
+    max_cores = max((kind.cores for kind in settings.kinds), default=math.inf) * settings.admit_cores
+    max_memory = max((kind.memory for kind in settings.kinds), default=math.inf) * settings.admit_memory
     key, service = str(fields.get("key", "")), extras.get("service", "")
     if not key or len(key.encode()) > 255:
         raise SignalError("key: the name of the task is meant", id)
@@ -36,31 +36,31 @@
         raise SignalError("a set-up must have a description", id)
     machine = extras.get("at", "")
     # A task that stands already has no time to wait; a new one is not waited for beyond its class's deadline.
-    most_ms = settings.classes[klass].deadline_ns / MS
-    left = 0.0 if machine else _number(fields.get("left"), "left", most_ms, id)
-    return Asked(
+    max_left_ms = settings.classes[klass].deadline_ns / MS
+    left = 0.0 if machine else _parse_number(fields.get("left"), "left", max_left_ms, id)
+    return SetupRequest(
         id=id, klass=klass, klass_name=klass_name, tenant=names.tenants.get(tenant, 0), key=key,
         service=service,
-        cores=_number(extras.get("cores"), "extras: cores", most_cores, id),
-        memory=_number(extras.get("memory"), "extras: memory", most_memory, id),
+        cores=_parse_number(extras.get("cores"), "extras: cores", max_cores, id),
+        memory=_parse_number(extras.get("memory"), "extras: memory", max_memory, id),
         left_ns=round(left * MS), description=message.description, machine=machine,
     )  # fmt: skip
 
 
 def is_handover(message: Message) -> bool:
     """Whether it names a task that a machine holds already."""
-    return message.kind is Kind.SETUP and "at" in _parts(str(message.fields.get("extras", "")))
+    return message.kind is Kind.SETUP and "at" in _parse_extras(str(message.fields.get("extras", "")))
 
 
-def _parts(text: str) -> dict[str, str]:
+def _parse_extras(text: str) -> dict[str, str]:
     return {name: value for name, _, value in (part.partition(":") for part in text.split(";"))}
 
 
-def _number(value: str | int | float | None, where: str, most: float, id: str) -> float:
+def _parse_number(value: str | int | float | None, where: str, maximum: float, id: str) -> float:
     try:
         number = float(value if value is not None else "")
     except (ValueError, OverflowError):
         raise SignalError(f"{where}: {str(value)[:40]!r} is not a number", id) from None
-    if not 0 < number <= most:
+    if not 0 < number <= maximum:
         raise SignalError(f"{where}: {number} is out of range", id)
     return number
--- a/ladderhub/platform/task.py
+++ b/ladderhub/platform/task.py
@@ -10,19 +10,19 @@
 from ladderhub.signalling import Leg, Message, State
 
 
-class OwnerLine(Protocol):
+class TaskOwner(Protocol):
     """An owner's connection, as tasks see it."""
 
     alive: bool
 
-    def put(self, message: Message) -> None: ...
+    def send(self, message: Message) -> None: ...
 
-    def look(self) -> None:
+    def read_pending(self) -> None:
         """Take what has come from the owner and was not read yet: it may have gone, or want no answer."""
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class SetupRequest:
     """A set-up that was read whole and makes sense.  `machine` is where the task stands already, or ''."""
 
     id: str
@@ -42,18 +42,19 @@
     """One set-up of an owner, from its arrival until its last attempt has ended."""
 
     __slots__ = (
-        "asked", "backstop", "leg", "line", "number", "offer", "queued", "sent", "until_ns", "withdrawing",
+        "attempt_count", "deadline_timer", "leg", "number", "offer", "owner", "queued", "request", "until_ns",
+        "withdrawing",
     )  # fmt: skip
 
-    def __init__(self, number: int, asked: Asked, line: OwnerLine, until_ns: int) -> None:
-        self.number, self.asked, self.line, self.until_ns = number, asked, line, until_ns
+    def __init__(self, number: int, request: SetupRequest, owner: TaskOwner, until_ns: int) -> None:
+        self.number, self.request, self.owner, self.until_ns = number, request, owner, until_ns
         self.leg = Leg()  # towards the owner
         self.offer: Offer | None = None
-        self.sent = 0
-        self.backstop: Timer | None = None
+        self.attempt_count = 0
+        self.deadline_timer: Timer | None = None
         self.withdrawing = False  # the module has not heard yet that no answer is owed
         self.queued = False  # the module has not heard of it yet
 
-    def waits(self) -> bool:
+    def is_waiting(self) -> bool:
         """Whether it is still to be placed."""
         return self.queued and self.leg.state is State.SET_UP
--- a/ladderhub/platform/tasks.py
+++ b/ladderhub/platform/tasks.py
@@ -17,15 +17,15 @@
 from ladderhub.platform.conn import Offer
 from ladderhub.platform.links import Links
 from ladderhub.platform.mapping import to_outcome, to_reason, to_topic
-from ladderhub.platform.placing import Placing
+from ladderhub.platform.placing import Placer
 from ladderhub.platform.report import Report
-from ladderhub.platform.task import Asked, OwnerLine, Task
+from ladderhub.platform.task import SetupRequest, TaskOwner, Task
 from ladderhub.signalling import Cause, Code, Kind, Message, State, Step
 
 MS = 1_000_000
 
 
-class _Timed:
+class _TimedModule:
     """The module, with the time spent in it."""
 
     def __init__(self, module: Scheduler) -> None:
@@ -49,42 +49,42 @@
 
     def __init__(self, loop: Loop, module: Scheduler, report: Report) -> None:
         self._loop, self._report, self.module = loop, report, module
-        self._timed = _Timed(module)
-        self._tell = EventDispatcher(loop.now_ns, self._fault).register(self._timed, self)
+        self._timed_module = _TimedModule(module)
+        self._dispatch = EventDispatcher(loop.now_ns, self._on_fault).register(self._timed_module, self)
         self._by_number: dict[int, Task] = {}
         self._by_id: dict[str, Task] = {}  # open and standing
-        self.placing = Placing(loop, ANSWER_MARGIN_NS, self._place_now)
+        self.placing = Placer(loop, ANSWER_MARGIN_NS, self._place_now)
         self._sending: Offer | None = None  # the one whose `Send` is being carried out
         self._count = 0
-        self.open = 0
+        self.open_count = 0
         self._links: Links
-        self.look_at_list: Callable[[], None] = lambda: None  # read what is told of machines
-        self.tell_over: Callable[[OwnerLine, Message], None] = lambda line, message: line.put(message)
-        report.gauges["module_ms"] = self._timed.take_ms
-        report.gauges["queued"] = self.placing.waiting
-        report.gauges["open"] = lambda: self.open
-        report.gauges["standing"] = lambda: len(self._by_id) - self.open
+        self.read_journal: Callable[[], None] = lambda: None  # read what is told of machines
+        self.notify_owner: Callable[[TaskOwner, Message], None] = lambda owner, message: owner.send(message)
+        report.gauges["module_ms"] = self._timed_module.take_ms
+        report.gauges["queued"] = self.placing.count_waiting
+        report.gauges["open"] = lambda: self.open_count
+        report.gauges["standing"] = lambda: len(self._by_id) - self.open_count
         report.gauges["attempts_out"] = lambda: sum(1 for t in self._by_number.values() if t.offer)
 
-    def join(self, links: Links) -> None:
+    def set_links(self, links: Links) -> None:
         self._links = links
 
-    def _fault(self, event: object, fault: Exception) -> None:
+    def _on_fault(self, event: object, fault: Exception) -> None:
         self._report.trouble(f"decision on {type(event).__name__}", fault)
-        self._heard(event)
+        self._on_event_done(event)
 
     # --- what owners say ----------------------------------------------------------------------------------
 
     def find(self, id: str) -> Task | None:
         return self._by_id.get(id)
 
-    def take(self, line: OwnerLine, asked: Asked, until_ns: int) -> Task:
+    def accept(self, owner: TaskOwner, request: SetupRequest, until_ns: int) -> Task:
         """Take a set-up; its answer is owed from here on, until `until_ns`.  `place` is due once its line
         knows of it."""
-        task = self._new(line, asked, until_ns)
+        task = self._create_task(owner, request, until_ns)
         task.leg.step(Step.SETUP)
-        self.open += 1
-        task.backstop = self._loop.call_at(task.until_ns, self._no_answer, task)
+        self.open_count += 1
+        task.deadline_timer = self._loop.call_at(task.until_ns, self._on_deadline, task)
         return task
 
     def place(self, task: Task) -> None:
@@ -92,33 +92,36 @@
         task.queued = self.placing.add(task)
         if not task.queued:
             self._report.count("refused.crowd")
-            self._answer(task, Message(Kind.RELEASE, task.asked.id, Cause.BUSY))
+            self._send_answer(task, Message(Kind.RELEASE, task.request.id, Cause.BUSY))
 
     def _place_now(self, task: Task) -> None:
         task.queued = False
-        self._tell(DeferredEvent(lambda now: self._asked_event(task, now)))
+        self._dispatch(DeferredEvent(lambda now: self._make_request_event(task, now)))
 
-    def adopt(self, line: OwnerLine, asked: Asked) -> Task:
+    def adopt(self, owner: TaskOwner, request: SetupRequest) -> Task:
         """A task that stands already and is now this scheduler's to look after."""
-        task = self._new(line, asked, self._loop.now_ns())  # nobody waits for it
+        task = self._create_task(owner, request, self._loop.now_ns())  # nobody waits for it
         task.leg.step(Step.HANDED)
-        task.offer = offer = self._offer(task, asked.machine, task.until_ns)
-        self._tell(DeferredEvent(lambda now: api.TaskOpen(self._asked_event(task, now), asked.machine)))
+        task.offer = offer = self._make_offer(task, request.machine, task.until_ns)
+        self._dispatch(
+            DeferredEvent(lambda now: api.TaskOpen(self._make_request_event(task, now), request.machine))
+        )
         self._report.count("adopted")
         self._links.adopt(offer)
         return task
 
-    def _new(self, line: OwnerLine, asked: Asked, until_ns: int) -> Task:
-        task = Task(self._count, asked, line, until_ns)
+    def _create_task(self, owner: TaskOwner, request: SetupRequest, until_ns: int) -> Task:
+        task = Task(self._count, request, owner, until_ns)
         self._count += 1
-        self._by_number[task.number] = self._by_id[asked.id] = task
+        self._by_number[task.number] = self._by_id[request.id] = task
         return task
 
-    def _asked_event(self, task: Task, now: int) -> api.TaskAsked:
-        asked = task.asked
+    def _make_request_event(self, task: Task, now: int) -> api.TaskAsked:
+        request = task.request
         return api.TaskAsked(
-            task=task.number, key=asked.key, klass=asked.klass, service=asked.service, cores=asked.cores,
-            memory=asked.memory, budget_ns=max(0, task.until_ns - now), tenant=asked.tenant,
+            task=task.number, key=request.key, klass=request.klass, service=request.service,
+            cores=request.cores, memory=request.memory, budget_ns=max(0, task.until_ns - now),
+            tenant=request.tenant,
         )  # fmt: skip
 
     def give_up(self, task: Task) -> None:
@@ -127,59 +130,59 @@
             return
         self._report.count("owner.gave_up")
         task.withdrawing = True
-        self._settle(task, Step.RELEASE)
+        self._apply_owner_step(task, Step.RELEASE)
         self._withdraw(task)
 
     def _withdraw(self, task: Task) -> None:
         """No answer is owed any more."""
         task.withdrawing = True
-        self._tell(api.TaskWithdrawn(task.number))
+        self._dispatch(api.TaskWithdrawn(task.number))
         if task.offer is not None:
             self._cancel(task.offer)
 
-    def end_standing(self, task: Task, cause: int) -> None:
+    def end_running(self, task: Task, cause: int) -> None:
         """Its owner ends a task that runs.  The machine is told; its word on the end still comes."""
         if task.leg.state is not State.STANDS or task.offer is None:
             return
         self._report.count("owner.ended")
-        self._settle(task, Step.RELEASE)
+        self._apply_owner_step(task, Step.RELEASE)
         self._links.release(task.offer, cause)
 
-    def _settle(self, task: Task, step: Step) -> None:
+    def _apply_owner_step(self, task: Task, step: Step) -> None:
         """The owner's leg takes a step that ends it, or its answer."""
         if task.leg.state is State.SET_UP:
-            self.open -= 1
-            if task.backstop is not None:
-                task.backstop.cancel()
+            self.open_count -= 1
+            if task.deadline_timer is not None:
+                task.deadline_timer.cancel()
         task.leg.step(step)
         if task.leg.state is State.OVER:
-            if self._by_id.get(task.asked.id) is task:
-                del self._by_id[task.asked.id]
-            self._drop(task)
+            if self._by_id.get(task.request.id) is task:
+                del self._by_id[task.request.id]
+            self._drop_if_done(task)
 
-    def _drop(self, task: Task) -> None:
+    def _drop_if_done(self, task: Task) -> None:
         # Danger: until the module has heard of the end, an action decided before may still name the task.
         if task.leg.state is State.OVER and task.offer is None and not task.withdrawing:
             self._by_number.pop(task.number, None)
 
-    def answer_now(self) -> None:
+    def answer_all(self) -> None:
         """The process is about to end: each set-up that waits gets its answer, by the module's word."""
         for task in [each for each in self._by_id.values() if each.leg.state is State.SET_UP]:
             if task.queued:
                 task.until_ns = self._loop.now_ns()  # no attempt may begin for it
                 self._place_now(task)
             if task.leg.state is State.SET_UP:
-                self._tell(api.AnswerDue(task.number))
-                self._no_answer(task)
+                self._dispatch(api.AnswerDue(task.number))
+                self._on_deadline(task)
 
-    def _no_answer(self, task: Task) -> None:
+    def _on_deadline(self, task: Task) -> None:
         """The time is over: a set-up that never had its turn is refused by the module; else the module let
         the deadline pass, which only a fault of its own can bring about."""
-        if task.waits():
+        if task.is_waiting():
             self._place_now(task)
         if task.leg.state is State.SET_UP:
             self._report_unanswered(task)
-            self._answer(task, Message(Kind.RELEASE, task.asked.id, Cause.BROKEN))
+            self._send_answer(task, Message(Kind.RELEASE, task.request.id, Cause.BROKEN))
             self._withdraw(task)
 
     def _report_unanswered(self, task: Task) -> None:
@@ -187,29 +190,29 @@
         `due_ms` until the module holds it to be, the state of its attempt."""
         now, known, offer = self._loop.now_ns(), self.module.tasks.get(task.number), task.offer
         self._report.line(
-            "unanswered", task=task.asked.id, over_ms=(now - task.until_ns) // MS,
-            due_ms=None if known is None else (known.deadline_ns - now) // MS, sent=task.sent,
+            "unanswered", task=task.request.id, over_ms=(now - task.until_ns) // MS,
+            due_ms=None if known is None else (known.deadline_ns - now) // MS, sent=task.attempt_count,
             placed=known is not None and known.placed, written=offer is not None and offer.written,
         )  # fmt: skip
 
-    def _answer(self, task: Task, message: Message) -> None:
-        line = task.line
-        self._settle(task, Step.ANSWER if message.kind is Kind.ANSWER else Step.RELEASE)
-        line.put(message)
+    def _send_answer(self, task: Task, message: Message) -> None:
+        owner = task.owner
+        self._apply_owner_step(task, Step.ANSWER if message.kind is Kind.ANSWER else Step.RELEASE)
+        owner.send(message)
 
     # --- what the module decides --------------------------------------------------------------------------
 
     def execute(self, now: int, action: api.Action) -> None:
         match action:
             case api.SetTimer(at, timer):
-                self._loop.call_at(at, self._tell, api.TimerFired(timer))
+                self._loop.call_at(at, self._dispatch, api.TimerFired(timer))
             case api.Send(number, machine, timeout):
                 self._send(now, self._by_number[number], machine, timeout)
             case api.Refuse(number, stay_away):
                 fields: dict[str, str | int | float] = {"wait": stay_away // MS} if stay_away else {}
-                self._final(number, Cause.BUSY, fields, "refused")
+                self._reject(number, Cause.BUSY, fields, "refused")
             case api.Fail(number):
-                self._final(number, Cause.BROKEN, {}, "failed")
+                self._reject(number, Cause.BROKEN, {}, "failed")
             case api.Abort(number, attempt):
                 task = self._by_number.get(number)
                 if task is not None and task.offer is not None and task.offer.attempt == attempt:
@@ -222,125 +225,125 @@
                 self._report.line("not_carried_out", action=type(action).__name__)
 
     def on_handled(self, event: api.Event) -> None:
-        self._heard(event)
+        self._on_event_done(event)
 
-    def _heard(self, event: object) -> None:
+    def _on_event_done(self, event: object) -> None:
         """The module has heard this event, or failed over it."""
         if isinstance(event, api.TaskWithdrawn) and event.task in self._by_number:
             task = self._by_number[event.task]
             task.withdrawing = False
-            self._drop(task)
+            self._drop_if_done(task)
 
-    def _final(self, number: int, cause: int, fields: dict[str, str | int | float], what: str) -> None:
+    def _reject(self, number: int, cause: int, fields: dict[str, str | int | float], what: str) -> None:
         task = self._by_number.get(number)
         if task is None or task.leg.state is not State.SET_UP:
             return
-        self._report.count(f"answer.{what}.{task.asked.klass_name}")
-        self._answer(task, Message(Kind.RELEASE, task.asked.id, cause, None, fields))
+        self._report.count(f"answer.{what}.{task.request.klass_name}")
+        self._send_answer(task, Message(Kind.RELEASE, task.request.id, cause, None, fields))
 
     def _move(self, number: int) -> None:
         task = self._by_number.get(number)
         if task is None or task.leg.state is not State.STANDS or task.offer is None:
             return
         self._report.count("moved")
-        self._settle(task, Step.MOVE)
-        self.tell_over(task.line, Message(Kind.MOVE, task.asked.id))
+        self._apply_owner_step(task, Step.MOVE)
+        self.notify_owner(task.owner, Message(Kind.MOVE, task.request.id))
         self._links.release(task.offer, Cause.CANCELLED)
 
-    def _offer(self, task: Task, machine: str, until_ns: int) -> Offer:
-        asked, attempt = task.asked, task.sent
-        task.sent += 1
-        setup = Message(Kind.SETUP, asked.id, None, asked.description)
-        setup.values = {Code.CLASS: asked.klass_name, Code.KEY: asked.key}
-        repeatable = self.module.settings.classes[asked.klass].effect is api.Effect.SAFE
+    def _make_offer(self, task: Task, machine: str, until_ns: int) -> Offer:
+        request, attempt = task.request, task.attempt_count
+        task.attempt_count += 1
+        setup = Message(Kind.SETUP, request.id, None, request.description)
+        setup.values = {Code.CLASS: request.klass_name, Code.KEY: request.key}
+        repeatable = self.module.settings.classes[request.klass].effect is api.Effect.SAFE
         return Offer(task.number, attempt, machine, setup, self._loop.now_ns(), until_ns, repeatable)
 
     def _send(self, now: int, task: Task, machine: str, timeout: int | None) -> None:
         until = task.until_ns if timeout is None else min(task.until_ns, now + timeout)
-        task.offer = self._sending = offer = self._offer(task, machine, until)
+        task.offer = self._sending = offer = self._make_offer(task, machine, until)
         self._report.count("attempts")
         if task.leg.state is State.SET_UP:
             self._links.send(offer)
         else:  # given up while this was being decided
-            self._ended(offer, api.Outcome.NEVER_SENT)
+            self._end_attempt(offer, api.Outcome.NEVER_SENT)
         self._sending = None
 
     def confirm_send(self, offer: Offer) -> bool:
-        task = self._task_of(offer)
+        task = self._find_task(offer)
         if task is None:
             return False
-        task.line.look()
-        self.look_at_list()
-        if self._task_of(offer) is task and offer is not self._sending:
+        task.owner.read_pending()
+        self.read_journal()
+        if self._find_task(offer) is task and offer is not self._sending:
             # Decided a while ago: whatever forbids an attempt may have come about since.
-            self._tell(api.AttemptLeaving(offer.number, offer.attempt))
-        return self._task_of(offer) is task
+            self._dispatch(api.AttemptLeaving(offer.number, offer.attempt))
+        return self._find_task(offer) is task
 
     def _cancel(self, offer: Offer) -> None:
         """Give an attempt up at its machine."""
         self._links.give_up(offer)
-        self._ended(offer, api.Outcome.CANCELLED if offer.written else api.Outcome.NEVER_SENT)
+        self._end_attempt(offer, api.Outcome.CANCELLED if offer.written else api.Outcome.NEVER_SENT)
 
     # --- what machines say --------------------------------------------------------------------------------
 
-    def _task_of(self, offer: Offer) -> Task | None:
+    def _find_task(self, offer: Offer) -> Task | None:
         task = self._by_number.get(offer.number)
         return task if task is not None and task.offer is offer else None
 
     def on_answer(self, offer: Offer, description: str) -> None:
-        task = self._task_of(offer)
+        task = self._find_task(offer)
         if task is not None:
-            task.line.look()  # nobody may be there for it any more
-            if self._task_of(offer) is not task:
+            task.owner.read_pending()  # nobody may be there for it any more
+            if self._find_task(offer) is not task:
                 return
         if task is None or task.leg.state is not State.SET_UP:
             # The owner has had another word meanwhile: what stands now must not.
             self._links.release(offer, Cause.NORMAL)
             return
         waited = self._loop.now_ns() - offer.sent_ns
-        self._report.count(f"answer.placed.{task.asked.klass_name}")
-        self._tell(api.TaskPlaced(offer.number, offer.attempt, offer.machine, waited))
-        self._answer(task, Message(Kind.ANSWER, task.asked.id, None, description))
+        self._report.count(f"answer.placed.{task.request.klass_name}")
+        self._dispatch(api.TaskPlaced(offer.number, offer.attempt, offer.machine, waited))
+        self._send_answer(task, Message(Kind.ANSWER, task.request.id, None, description))
 
     def on_release(self, offer: Offer, cause: int | None, note: str | None) -> None:
         outcome = to_outcome(cause, offer.started)
         if offer.started:
-            self._over(offer, cause if cause is not None else Cause.BROKEN, outcome)
-        self._ended(offer, outcome, to_reason(note), f"cause {cause} {note or ''}")
+            self._end_running_task(offer, cause if cause is not None else Cause.BROKEN, outcome)
+        self._end_attempt(offer, outcome, to_reason(note), f"cause {cause} {note or ''}")
 
     def on_note(self, offer: Offer, note: str | None, figure: float) -> None:
         topic = to_topic(note)
-        if topic is not None and self._task_of(offer) is not None:
-            self._tell(api.TaskNote(offer.number, offer.attempt, offer.machine, topic, figure))
+        if topic is not None and self._find_task(offer) is not None:
+            self._dispatch(api.TaskNote(offer.number, offer.attempt, offer.machine, topic, figure))
 
     def on_unreached(self, offer: Offer) -> None:
-        self._ended(offer, api.Outcome.UNREACHABLE)
+        self._end_attempt(offer, api.Outcome.UNREACHABLE)
 
     def on_unsent(self, offer: Offer) -> None:
-        self._ended(offer, api.Outcome.NEVER_SENT)
+        self._end_attempt(offer, api.Outcome.NEVER_SENT)
 
     def on_broken(self, offer: Offer, why: str) -> None:
-        self._over(offer, Cause.BROKEN, api.Outcome.LOST)
-        self._ended(offer, api.Outcome.LOST, why=why)
+        self._end_running_task(offer, Cause.BROKEN, api.Outcome.LOST)
+        self._end_attempt(offer, api.Outcome.LOST, why=why)
 
     def on_overdue(self, offer: Offer) -> None:
-        self._ended(offer, api.Outcome.TIMED_OUT)
+        self._end_attempt(offer, api.Outcome.TIMED_OUT)
 
-    def _over(self, offer: Offer, cause: int, outcome: api.Outcome) -> None:
+    def _end_running_task(self, offer: Offer, cause: int, outcome: api.Outcome) -> None:
         """What stood is over: its owner is told, unless the owner ended it."""
-        task = self._task_of(offer)
+        task = self._find_task(offer)
         if task is None or task.leg.state is not State.STANDS:
             return
         self._report.count(f"over.{outcome.name.lower()}")
-        self._settle(task, Step.RELEASE)
+        self._apply_owner_step(task, Step.RELEASE)
         if outcome is not api.Outcome.CANCELLED:
-            self.tell_over(task.line, Message(Kind.RELEASE, task.asked.id, cause))
+            self.notify_owner(task.owner, Message(Kind.RELEASE, task.request.id, cause))
 
-    def _ended(
+    def _end_attempt(
         self, offer: Offer, outcome: api.Outcome, reason: api.Reason = api.Reason.UNKNOWN, why: str = ""
     ) -> None:
         """The one end of an attempt, told to the module."""
-        task = self._task_of(offer)
+        task = self._find_task(offer)
         if task is None:
             return
         self._report.count(f"attempt.{outcome.name.lower()}")
@@ -353,10 +356,10 @@
         task.offer = None
         concluded = task.leg.state is not State.SET_UP
         waited = self._loop.now_ns() - offer.sent_ns
-        self._drop(task)
-        self._tell(
+        self._drop_if_done(task)
+        self._dispatch(
             api.AttemptEnded(offer.number, offer.attempt, offer.machine, outcome, reason, concluded, waited)
         )
 
-    def tell_list(self, event: api.MachineList) -> None:
-        self._tell(event)
+    def report_machine_list(self, event: api.MachineList) -> None:
+        self._dispatch(event)
--- a/tests/platform/bed.py
+++ b/tests/platform/bed.py
@@ -13,7 +13,7 @@
 from ladderhub.decide import Scheduler
 from ladderhub.lab.ports import own_host
 from ladderhub.loop import Listener, Loop, ManualClock, Stream
-from ladderhub.platform.config import load
+from ladderhub.platform.config import load_config
 from ladderhub.platform.report import Report
 from ladderhub.platform.service import Service
 from ladderhub.signalling import BinaryReader, Code, Kind, LineReader, Message, encode_binary, encode_line
@@ -226,13 +226,15 @@
         self.environment = {"PROXY_NAME": "n0", "PROXY_CONFIG": str(self.path)}
         self.path.write_text(json.dumps(self.file))
         report = Report(self.clock.now_ns, lambda data: self.logged.append(json.loads(data)))
-        config = replace(load(self.environment), listen=(own_host(), 0))  # any free port: no file may say so
+        config = replace(
+            load_config(self.environment), listen=(own_host(), 0)
+        )  # any free port: no file may say so
         self.service = Service(self.loop, config, report)
         self.service.start()
         while caught_up and not self.service.follower.caught_up:
             self.loop.turn(MS)
             self.clock.advance(MS)
-        self.owner_address: tuple[str, int] = self.service.door.address()
+        self.owner_address: tuple[str, int] = self.service.owners.get_address()
         self._count = 0
 
     def run(self, until: Callable[[], object] | None = None, span_ns: int = 0) -> None:
--- a/tests/platform/process_bed.py
+++ b/tests/platform/process_bed.py
@@ -16,7 +16,7 @@
 from tests.platform.bed import MS, Machine, Owner, Script, event, settings
 
 ROOT = Path(__file__).parents[2]
-ROUNDS_MOST = 60_000  # of the test's loop, each up to 2 ms long: far beyond what any play needs
+MAX_ROUNDS = 60_000  # of the test's loop, each up to 2 ms long: far beyond what any play needs
 
 
 class ProcessBed:
@@ -45,7 +45,7 @@
         self._count = 0
         self.owners: list[Owner] = []
         self.start()
-        self.run(self.ready)
+        self.run(self.is_ready)
 
     def start(self) -> None:
         """Start a process; beside one that serves, it waits for the address."""
@@ -62,12 +62,12 @@
         """The process that serves: the first that has not ended, or the last."""
         return next((each for each in self.children if each.poll() is None), self.children[-1])
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether the process that was started last serves."""
         self._logs[-1].seek(0)
         return '"ready"' in self._logs[-1].read()
 
-    def log(self) -> str:
+    def read_log(self) -> str:
         """What the processes have written so far, one behind the other."""
         for log in self._logs:
             log.seek(0)
@@ -75,11 +75,11 @@
 
     def run(self, until: Any) -> None:
         """Turn the test's own loop until something is so."""
-        for _ in range(ROUNDS_MOST):
+        for _ in range(MAX_ROUNDS):
             if until():
                 return
             self.loop.turn(2 * MS)
-        raise AssertionError(f"did not come about; log: {self.log()[-2000:]}")
+        raise AssertionError(f"did not come about; log: {self.read_log()[-2000:]}")
 
     def setup(self, left_ms: int = 8000) -> Message:
         """A set-up under a new id."""
--- a/tests/platform/soak.py
+++ b/tests/platform/soak.py
@@ -22,9 +22,9 @@
 
 MACHINES, OWNERS = 12, 5
 STEPS = 260  # drawn operations; some ten milliseconds apart
-BURST_MOST, CROWD = 12, 250
-CUT_NS = S  # by then a machine must have been told of a task that its owner ended
-CROSSING_NS = 50 * MS  # a set-up may cross the close of its connection for so long, by the protocol
+MAX_BURST, CROWD = 12, 250
+RELEASE_TIMEOUT_NS = S  # by then a machine must have been told of a task that its owner ended
+CLOSE_RACE_NS = 50 * MS  # a set-up may cross the close of its connection for so long, by the protocol
 FULL, ERROR, CUT, DONE = 34, 47, 41, 16
 
 
@@ -48,185 +48,185 @@
         self.bed = bed
         super().__init__(bed)
         bed.owners.append(self)
-        self.asked_ns: dict[str, int] = {}
+        self.sent_ns: dict[str, int] = {}
         self.closed_ns = 0
 
     def on_closed(self, stream: Stream, fault: BaseException | None) -> None:
         super().on_closed(stream, fault)
         self.closed_ns = self.bed.loop.now_ns()
 
-    def ask(self, setups: list[Message]) -> None:
+    def send_setups(self, setups: list[Message]) -> None:
         self.send(*setups)
         now = self.bed.loop.now_ns()
-        self.asked_ns.update((setup.id, now) for setup in setups)
+        self.sent_ns.update((setup.id, now) for setup in setups)
 
-    def crossed(self, withdrawn: Callable[[str], bool]) -> list[str]:
+    def find_crossed(self, withdrawn: Callable[[str], bool]) -> list[str]:
         """Set-ups that crossed the close of a connection with none open on it: these are sent again, once."""
         told = {message.id for message in self.messages}
-        waits = [id for id in self.asked_ns if id not in told and not withdrawn(id)]
-        open_ = {id: self.asked_ns[id] for id in waits}
-        if not self.closed or any(at_ns < self.closed_ns - CROSSING_NS for at_ns in open_.values()):
+        unanswered = [id for id in self.sent_ns if id not in told and not withdrawn(id)]
+        open_ = {id: self.sent_ns[id] for id in unanswered}
+        if not self.closed or any(at_ns < self.closed_ns - CLOSE_RACE_NS for at_ns in open_.values()):
             return []
         return list(open_)
 
 
-class Play:
+class SoakRun:
     """One play: draw, carry out, end the process, judge."""
 
     def __init__(self, folder: Path, seed: int) -> None:
-        self.draw = random.Random(seed)
+        self.rng = random.Random(seed)
         self.terminated_ns = 0
         self.trace: list[str] = []
         self.modes = {f"m{at}": "yes" for at in range(MACHINES)}
         self.records: dict[str, Record] = {}
-        self.standing: dict[str, tuple[Machine, MachineConn]] = {}
+        self.running: dict[str, tuple[Machine, MachineConn]] = {}
         self.bed = self.make_bed(folder)
         self.owners = [SoakOwner(self.bed) for _ in range(OWNERS)]
-        self.gone: list[SoakOwner] = []
-        self.open: dict[SoakOwner, list[str]] = {owner: [] for owner in self.owners}
+        self.past_owners: list[SoakOwner] = []
+        self.open_setups: dict[SoakOwner, list[str]] = {owner: [] for owner in self.owners}
 
     def make_bed(self, folder: Path) -> ProcessBed:
-        return ProcessBed(folder, *[self._hear] * MACHINES)
+        return ProcessBed(folder, *[self._on_message] * MACHINES)
 
     # --- machines -----------------------------------------------------------------------------------------
 
-    def _hear(self, conn: MachineConn, message: Message) -> None:
+    def _on_message(self, conn: MachineConn, message: Message) -> None:
         machine = conn.machine
         if message.kind is Kind.SETUP:
             mode = self.modes[machine.name]
             if mode == "yes":
                 self.records[message.id].accepted.append(machine.name)
-                self.standing[message.id] = (machine, conn)
+                self.running[message.id] = (machine, conn)
                 conn.send(Message(Kind.ANSWER, message.id, None, f"runs {message.id}"))
             elif mode in ("full", "errs"):
                 conn.send(release(message.id, FULL if mode == "full" else ERROR, "no_cores"))
-        elif message.kind is Kind.RELEASE and self.standing.pop(message.id, None) is not None:
+        elif message.kind is Kind.RELEASE and self.running.pop(message.id, None) is not None:
             conn.send(release(message.id, 31))
 
     def _end_task(self) -> None:
-        if not self.standing:
+        if not self.running:
             return
-        id = self.draw.choice(sorted(self.standing))
-        machine, conn = self.standing.pop(id)
+        id = self.rng.choice(sorted(self.running))
+        machine, conn = self.running.pop(id)
         if conn not in machine.conns:
             if not machine.conns:
-                self.standing[id] = (machine, conn)  # it will be told on the next connection
+                self.running[id] = (machine, conn)  # it will be told on the next connection
                 return
             conn = machine.conns[-1]
-        self._tell_end(machine, conn, id)
+        self._send_end(machine, conn, id)
 
-    def _tell_end(self, machine: Machine, conn: MachineConn, id: str) -> None:
+    def _send_end(self, machine: Machine, conn: MachineConn, id: str) -> None:
         conn.send(release(id, DONE))
         self.records[id].ended = True
 
-    def _die(self, machine: Machine) -> None:
+    def _restart_machine(self, machine: Machine) -> None:
         """The process of a machine dies and is back a little later, with none of its tasks."""
         address = machine.address
         machine.die()
-        for id, (where, _) in list(self.standing.items()):
+        for id, (where, _) in list(self.running.items()):
             if where is machine:
-                del self.standing[id]
-        self._turn(self.draw.randrange(1, 60))
+                del self.running[id]
+        self._turn(self.rng.randrange(1, 60))
         machine.listener = Listener(self.bed.loop, address, machine._accept)
 
     # --- owners -------------------------------------------------------------------------------------------
 
-    def _ask(self, owner: SoakOwner, count: int) -> None:
+    def _send_setups(self, owner: SoakOwner, count: int) -> None:
         if owner.closed:
-            owner = self._come_again(owner)
+            owner = self._reconnect(owner)
         setups = []
         for _ in range(count):
-            left_ms = self.draw.choice((300, 1000, 3000))
-            setups.append(self._setup(self.draw.random() < 0.3, left_ms))
-            self.open[owner].append(setups[-1].id)
-        owner.ask(setups)
+            left_ms = self.rng.choice((300, 1000, 3000))
+            setups.append(self._make_setup(self.rng.random() < 0.3, left_ms))
+            self.open_setups[owner].append(setups[-1].id)
+        owner.send_setups(setups)
 
-    def _setup(self, unsafe: bool, left_ms: int) -> Message:
+    def _make_setup(self, unsafe: bool, left_ms: int) -> Message:
         setup = self.bed.setup(left_ms)
         setup.fields["class"] = "bill" if unsafe else "web"
         self.records[setup.id] = Record(setup.id, unsafe, left_ms)
         return setup
 
     def _cancel(self, owner: SoakOwner) -> None:
-        if self.open[owner] and not owner.closed:
-            id = self.draw.choice(self.open[owner])
+        if self.open_setups[owner] and not owner.closed:
+            id = self.rng.choice(self.open_setups[owner])
             self.records[id].withdrawn = True
             self.records[id].cancelled_ns = self.bed.loop.now_ns()
             owner.send(Message(Kind.RELEASE, id, DONE))
 
-    def _leave(self, owner: SoakOwner) -> None:
+    def _disconnect(self, owner: SoakOwner) -> None:
         owner.stream.abort()
-        for id in self.open[owner]:
+        for id in self.open_setups[owner]:
             self.records[id].withdrawn = True
-        self._come_again(owner)
+        self._reconnect(owner)
 
-    def _come_again(self, owner: SoakOwner) -> SoakOwner:
+    def _reconnect(self, owner: SoakOwner) -> SoakOwner:
         """A new connection in place of one that has ended: one that says nothing for a while is closed."""
-        again = SoakOwner(self.bed)
+        new_owner = SoakOwner(self.bed)
         if owner in self.owners:
-            self.gone.append(owner)
+            self.past_owners.append(owner)
             self.owners.remove(owner)
-            self.owners.append(again)
+            self.owners.append(new_owner)
         else:
-            self.gone.append(again)
-        self.open[again] = []
-        return again
+            self.past_owners.append(new_owner)
+        self.open_setups[new_owner] = []
+        return new_owner
 
-    def _send_again(self) -> None:
+    def _resend_crossed(self) -> None:
         """Set-ups that crossed the close of their connection go over new ones, under new ids."""
-        ended = [owner for owner in [*self.owners, *self.gone] if owner.closed and owner.asked_ns]
+        ended = [owner for owner in [*self.owners, *self.past_owners] if owner.closed and owner.sent_ns]
         for owner in ended:
-            crossed = [self.records[id] for id in owner.crossed(lambda id: self.records[id].withdrawn)]
-            owner.asked_ns.clear()
+            crossed = [self.records[id] for id in owner.find_crossed(lambda id: self.records[id].withdrawn)]
+            owner.sent_ns.clear()
             if not crossed:
                 continue
             for record in crossed:
                 record.withdrawn = True
             try:
-                again = self._come_again(owner)
+                new_owner = self._reconnect(owner)
             except ConnectionRefusedError:
                 continue  # nobody is there to take them
-            setups = [self._setup(record.unsafe, record.left_ms) for record in crossed]
-            self.open[again] += [setup.id for setup in setups]
-            again.ask(setups)
+            setups = [self._make_setup(record.unsafe, record.left_ms) for record in crossed]
+            self.open_setups[new_owner] += [setup.id for setup in setups]
+            new_owner.send_setups(setups)
 
     # --- the play -----------------------------------------------------------------------------------------
 
     def _turn(self, rounds: int) -> None:
         for _ in range(rounds):
             self.bed.loop.turn(MS)
-            self._send_again()
+            self._resend_crossed()
 
     def _pause(self) -> None:
         child = self.bed.child
         self.note("pause")
         child.send_signal(signal.SIGSTOP)
-        self._turn(self.draw.randrange(1, 150))
+        self._turn(self.rng.randrange(1, 150))
         child.send_signal(signal.SIGCONT)
         self.note("goes on")
 
     def _step(self) -> None:
-        owner, machine = self.draw.choice(self.owners), self.draw.choice(self.bed.machines)
-        what = self.draw.random()
+        owner, machine = self.rng.choice(self.owners), self.rng.choice(self.bed.machines)
+        what = self.rng.random()
         if what < 0.45:
-            self._ask(owner, self.draw.randrange(1, BURST_MOST))
+            self._send_setups(owner, self.rng.randrange(1, MAX_BURST))
         elif what < 0.65:
             self._end_task()
         elif what < 0.75:
-            self.modes[machine.name] = self.draw.choice(("yes", "yes", "yes", "full", "errs", "mute"))
+            self.modes[machine.name] = self.rng.choice(("yes", "yes", "yes", "full", "errs", "mute"))
         elif what < 0.82:
             self._cancel(owner)
         elif what < 0.86 and machine.conns:
-            self.draw.choice(machine.conns).stream.abort()
+            self.rng.choice(machine.conns).stream.abort()
         elif what < 0.89:
-            self._leave(owner)
+            self._disconnect(owner)
         elif what < 0.91:
-            self._die(machine)
+            self._restart_machine(machine)
         elif what < 0.93:
             self._pause()
         elif what < 0.94:
-            self._ask(owner, CROWD)
-        self._turn(self.draw.randrange(1, 12))
+            self._send_setups(owner, CROWD)
+        self._turn(self.rng.randrange(1, 12))
 
     def run(self) -> None:
         """Play all steps, then end the process."""
@@ -243,57 +243,57 @@
         self.note("SIGTERM")
         self.bed.child.send_signal(signal.SIGTERM)
         for _ in range(10):
-            self._ask(self.draw.choice(self.owners), 3)
+            self._send_setups(self.rng.choice(self.owners), 3)
             self._turn(20)
         self.bed.run(lambda: self.bed.child.poll() is not None)
         self._turn(50)
 
-    def keep(self, folder: Path, found: list[str]) -> None:
+    def save(self, folder: Path, found: list[str]) -> None:
         """Write the log of the process, and what owners and machines heard, in the order of each."""
         folder.mkdir(parents=True)
         (folder / "faults").write_text("\n".join(found) + "\n")
-        (folder / "log").write_text(self.bed.log())
+        (folder / "log").write_text(self.bed.read_log())
         heard = [
             f"{machine.name} {message.kind.name} {message.id}"
             for machine, message in self.bed.machine_messages
         ]
         (folder / "machines").write_text("\n".join(heard) + "\n")
-        owners = enumerate([*self.owners, *self.gone])
+        owners = enumerate([*self.owners, *self.past_owners])
         got = [f"{at} {m.kind.name} {m.id} {m.cause}" for at, owner in owners for m in owner.messages]
         (folder / "owners").write_text("\n".join(got) + "\n")
         told = [f"{each}" for each in self.records.values()]
         (folder / "records").write_text("\n".join(told) + "\n")
-        (folder / "asked").write_text("".join(self._asked_rows()))
+        (folder / "asked").write_text("".join(self._format_sent_rows()))
         (folder / "trace").write_text("\n".join(self.trace) + "\n")
 
     def note(self, text: str) -> None:
         """Keep what was done, with the time in milliseconds as the log has it."""
         self.trace.append(f"{self.bed.loop.now_ns() // MS} {text}")
 
-    def _asked_rows(self) -> list[str]:
+    def _format_sent_rows(self) -> list[str]:
         """When each set-up was written and its connection ended, in milliseconds after SIGTERM."""
         rows = []
-        for at, owner in enumerate([*self.owners, *self.gone]):
+        for at, owner in enumerate([*self.owners, *self.past_owners]):
             closed_ms = (owner.closed_ns - self.terminated_ns) / MS if owner.closed else None
-            for id, asked_ns in owner.asked_ns.items():
-                rows.append(f"{at} {id} asked {(asked_ns - self.terminated_ns) / MS} closed {closed_ms}\n")
+            for id, sent_ns in owner.sent_ns.items():
+                rows.append(f"{at} {id} asked {(sent_ns - self.terminated_ns) / MS} closed {closed_ms}\n")
         return rows
 
-    def _left_standing(self, record: Record) -> bool:
+    def _is_left_running(self, record: Record) -> bool:
         """Whether its machine was not told in time that its owner ended it."""
-        in_time = 0 < record.cancelled_ns < self.terminated_ns - CUT_NS
-        return in_time and len(record.accepted) == 1 and record.id in self.standing
+        in_time = 0 < record.cancelled_ns < self.terminated_ns - RELEASE_TIMEOUT_NS
+        return in_time and len(record.accepted) == 1 and record.id in self.running
 
-    def statuses(self) -> list[int | None]:
+    def get_statuses(self) -> list[int | None]:
         """With which the process ended."""
         return [self.bed.child.returncode]
 
-    def faults(self) -> list[str]:
+    def find_faults(self) -> list[str]:
         """What the rules forbid and was seen."""
-        found = [f"ended with status {status}" for status in self.statuses() if status != 0]
+        found = [f"ended with status {status}" for status in self.get_statuses() if status != 0]
         answered: Counter[str] = Counter()
         released: Counter[str] = Counter()
-        for owner in [*self.owners, *self.gone]:
+        for owner in [*self.owners, *self.past_owners]:
             answered.update(message.id for message in owner.received(Kind.ANSWER))
             released.update(message.id for message in owner.received(Kind.RELEASE))
         for record in self.records.values():
@@ -303,41 +303,43 @@
                 found.append(f"{record.id}: no answer")
             if record.ended and answered[record.id] and not record.withdrawn and not released[record.id]:
                 found.append(f"{record.id}: its end was not told")
-            if answered[record.id] and self._left_standing(record):
+            if answered[record.id] and self._is_left_running(record):
                 found.append(f"{record.id}: its owner ended it, and it stands")
             if record.unsafe and len(record.accepted) > 1:
                 found.append(f"{record.id}: ran at {record.accepted}")
         own_faults = ('"trouble"', '"unanswered"')
-        found += [line for line in self.bed.log().splitlines() if any(each in line for each in own_faults)]
+        found += [
+            line for line in self.bed.read_log().splitlines() if any(each in line for each in own_faults)
+        ]
         return found
 
 
-def play(seed: int) -> tuple[list[str], int]:
+def run_seed(seed: int) -> tuple[list[str], int]:
     """The faults that were found with this seed, and how many set-ups were asked for."""
     with tempfile.TemporaryDirectory() as folder:
-        each = Play(Path(folder), seed)
-        return judged(each, seed)
+        each = SoakRun(Path(folder), seed)
+        return run_and_judge(each, seed)
 
 
-def judged(each: Play, seed: int) -> tuple[list[str], int]:
+def run_and_judge(each: SoakRun, seed: int) -> tuple[list[str], int]:
     """Play it to the end: the faults that were found, and how many set-ups were asked for.  With faults, and
     SOAK_KEEP set to a folder, the log and what both ends saw are kept there."""
     try:
         each.run()
-        found = each.faults()
+        found = each.find_faults()
         if found and "SOAK_KEEP" in os.environ:
-            each.keep(Path(os.environ["SOAK_KEEP"]) / f"{type(each).__name__}-{seed}-{os.getpid()}", found)
+            each.save(Path(os.environ["SOAK_KEEP"]) / f"{type(each).__name__}-{seed}-{os.getpid()}", found)
         return found, len(each.records)
     finally:
         each.bed.close()
 
 
-def main(play: Callable[[int], tuple[list[str], int]]) -> None:
+def main(run_seed: Callable[[int], tuple[list[str], int]]) -> None:
     """Play the seeds that the command names, the first and the last."""
     for seed in range(int(sys.argv[1]), int(sys.argv[2]) + 1):
-        found, count = play(seed)
+        found, count = run_seed(seed)
         print(f"seed {seed}: {count} set-ups, {len(found)} faults {found[:4]}", flush=True)
 
 
 if __name__ == "__main__":
-    main(play)
+    main(run_seed)
--- a/tests/platform/soak_journal.py
+++ b/tests/platform/soak_journal.py
@@ -9,8 +9,8 @@
 from ladderhub.loop import Listener, Loop, Stream, Timer
 from tests.platform.bed import S, event
 
-TOLD_LATE_NS = 4 * S  # an event counts as told so long after a break of the service at the latest
-BREAK_MOST_NS = 3 * S  # so no break lasts longer, and what it held back is told by then
+MAX_EVENT_DELAY_NS = 4 * S  # an event counts as told so long after a break of the service at the latest
+MAX_OUTAGE_NS = 3 * S  # so no break lasts longer, and what it held back is told by then
 
 
 class SoakJournal:
@@ -21,62 +21,62 @@
         self.events: list[bytes] = []
         self.broken_since_ns: int | None = None
         self.up_since_ns = loop.now_ns()
-        self._back: Timer | None = None
-        self._tails: list[Stream] = []
-        self._asked: dict[Stream, bytes] = {}
+        self._recovery_timer: Timer | None = None
+        self._subscribers: list[Stream] = []
+        self._requests: dict[Stream, bytes] = {}
         self.listeners = [Listener(loop, (own_host(), 0), self._accept) for _ in range(2)]
         self.addresses = [":".join(map(str, listener.address)) for listener in self.listeners]
-        loop.call_later(S, self._second)
+        loop.call_later(S, self._on_second)
 
     def _accept(self, sock: Any) -> None:
-        self._asked[Stream(self.loop, sock, self)] = b""
+        self._requests[Stream(self.loop, sock, self)] = b""
 
     def on_data(self, stream: Stream, data: bytes) -> None:
-        self._asked[stream] += data
-        if self.broken_since_ns is None and self._asked[stream].endswith(b"\n"):
+        self._requests[stream] += data
+        if self.broken_since_ns is None and self._requests[stream].endswith(b"\n"):
             self._serve(stream)
 
     def _serve(self, stream: Stream) -> None:
-        last = int(self._asked[stream].split()[-1])
-        self._tails.append(stream)
+        last = int(self._requests[stream].split()[-1])
+        self._subscribers.append(stream)
         for line in self.events[max(0, last - 1) :]:
             stream.write(line)
 
     def on_closed(self, stream: Stream, fault: BaseException | None) -> None:
-        self._asked.pop(stream, None)
-        if stream in self._tails:
-            self._tails.remove(stream)
+        self._requests.pop(stream, None)
+        if stream in self._subscribers:
+            self._subscribers.remove(stream)
 
-    def _second(self) -> None:
-        self.loop.call_later(S, self._second)
+    def _on_second(self) -> None:
+        self.loop.call_later(S, self._on_second)
         self._write(b"%d\n" % (len(self.events) + 1))
 
     def _write(self, line: bytes) -> None:
         if self.broken_since_ns is None:
-            for stream in list(self._tails):
+            for stream in list(self._subscribers):
                 stream.write(line)
 
-    def tell(self, row: dict[str, Any]) -> int:
+    def add_event(self, row: dict[str, Any]) -> int:
         """Add an event; the time by which it counts as told."""
         self.events.append(json.dumps(event(len(self.events) + 2, row)).encode() + b"\n")
         self._write(self.events[-1])
         now = self.loop.now_ns()
-        return now if self.broken_since_ns is None else max(now, self.broken_since_ns + TOLD_LATE_NS)
+        return now if self.broken_since_ns is None else max(now, self.broken_since_ns + MAX_EVENT_DELAY_NS)
 
     def fail(self, resets: bool) -> None:
         """Fall silent; with `resets`, break off the connections too."""
         self.broken_since_ns = self.loop.now_ns()
-        self._back = self.loop.call_later(BREAK_MOST_NS, self.recover)
-        for stream in list(self._asked) if resets else []:
+        self._recovery_timer = self.loop.call_later(MAX_OUTAGE_NS, self.recover)
+        for stream in list(self._requests) if resets else []:
             stream.abort()
 
     def recover(self) -> None:
         """Serve again: whoever is connected gets what it missed."""
-        if self._back is not None:
-            self._back.cancel()
+        if self._recovery_timer is not None:
+            self._recovery_timer.cancel()
         self.broken_since_ns, self.up_since_ns = None, self.loop.now_ns()
-        for stream, asked in list(self._asked.items()):
-            if stream in self._tails:
+        for stream, asked in list(self._requests.items()):
+            if stream in self._subscribers:
                 stream.abort()  # what it was told is not known any more: it asks again
             elif asked.endswith(b"\n"):
                 self._serve(stream)
@@ -84,5 +84,5 @@
     def close(self) -> None:
         for listener in self.listeners:
             listener.close()
-        for stream in list(self._asked):
+        for stream in list(self._requests):
             stream.abort()
--- a/tests/platform/soak_resets.py
+++ b/tests/platform/soak_resets.py
@@ -10,15 +10,15 @@
 import tempfile
 from pathlib import Path
 
-from tests.platform.soak import Play, judged, main
+from tests.platform.soak import SoakRun, run_and_judge, main
 
 STEPS = 40
-ENDS_PAUSED, ENDS_RUNNING = 15, 30
-OFTEN = 0.3
+ENDS_WHILE_PAUSED, ENDS_WHILE_RUNNING = 15, 30
+FAULT_PROBABILITY = 0.3
 SETTLE_ROUNDS = 600  # of a millisecond
 
 
-class ResetPlay(Play):
+class ResetSoakRun(SoakRun):
     """Some steps of the soak, then one of two endings, then SIGTERM."""
 
     def run(self) -> None:
@@ -26,39 +26,39 @@
             self._step()
         for name in self.modes:
             self.modes[name] = "yes"
-        self.draw.choice((self._reset_while_paused, self._resets_between_ends))()
+        self.rng.choice((self._reset_while_paused, self._reset_between_ends))()
         self._turn(SETTLE_ROUNDS)
         self.terminate()
 
     def _reset_while_paused(self) -> None:
         """Ends are told to a process that stands still, and half of the connections are reset behind them."""
         os.kill(self.bed.child.pid, signal.SIGSTOP)
-        for _ in range(ENDS_PAUSED):
+        for _ in range(ENDS_WHILE_PAUSED):
             self._end_task()
-        self._turn(self.draw.randrange(1, 30))
+        self._turn(self.rng.randrange(1, 30))
         conns = [conn for machine in self.bed.machines for conn in machine.conns]
-        for conn in self.draw.sample(conns, len(conns) // 2):
+        for conn in self.rng.sample(conns, len(conns) // 2):
             conn.reset()
-        self._turn(self.draw.randrange(1, 30))
+        self._turn(self.rng.randrange(1, 30))
         os.kill(self.bed.child.pid, signal.SIGCONT)
 
-    def _resets_between_ends(self) -> None:
+    def _reset_between_ends(self) -> None:
         """Ends some milliseconds apart, with pauses and resets between them."""
-        for _ in range(ENDS_RUNNING):
+        for _ in range(ENDS_WHILE_RUNNING):
             self._end_task()
-            if self.draw.random() < OFTEN:
+            if self.rng.random() < FAULT_PROBABILITY:
                 self._pause()
-            machine = self.draw.choice(self.bed.machines)
-            if self.draw.random() < OFTEN and machine.conns:
-                self.draw.choice(machine.conns).reset()
-            self._turn(self.draw.randrange(0, 4))
+            machine = self.rng.choice(self.bed.machines)
+            if self.rng.random() < FAULT_PROBABILITY and machine.conns:
+                self.rng.choice(machine.conns).reset()
+            self._turn(self.rng.randrange(0, 4))
 
 
-def play(seed: int) -> tuple[list[str], int]:
+def run_seed(seed: int) -> tuple[list[str], int]:
     """The faults that were found with this seed, and how many set-ups were asked for."""
     with tempfile.TemporaryDirectory() as folder:
-        return judged(ResetPlay(Path(folder), seed), seed)
+        return run_and_judge(ResetSoakRun(Path(folder), seed), seed)
 
 
 if __name__ == "__main__":
-    main(play)
+    main(run_seed)
--- a/tests/platform/test_crowd.py
+++ b/tests/platform/test_crowd.py
@@ -14,9 +14,9 @@
 
 DECISION_NS = 10 * MS  # what one placement is made to take on the bed
 EVENT_NS = MS  # any event of the module
-READING_NS = 5 * MS  # and one message of a machine
+MESSAGE_NS = 5 * MS  # and one message of a machine
 ACCEPT_NS = 5 * MS  # and the accept of one caller
-LATE_NS = 500 * MS  # an answer so long after its time is lost
+ANSWER_GRACE_NS = 500 * MS  # an answer so long after its time is lost
 
 
 def slow_down(bed: Bed, pick_ns: int = DECISION_NS) -> None:
@@ -36,7 +36,7 @@
     picking.pick = slow  # type: ignore[method-assign]
 
 
-def answers(owner: Owner) -> list[Message]:
+def get_answers(owner: Owner) -> list[Message]:
     return owner.received(Kind.ANSWER) + owner.received(Kind.RELEASE)
 
 
@@ -52,7 +52,7 @@
     begun_ns = bed.clock.now_ns()
     bed.run(lambda: any(each.id == asked.id for each in owners[0].received(Kind.RELEASE)))
     assert bed.clock.now_ns() - begun_ns < S  # what has stood is released within 1 s of its end
-    bed.run(lambda: sum(len(answers(owner)) for owner in owners) == 4 * 60 + 2)
+    bed.run(lambda: sum(len(get_answers(owner)) for owner in owners) == 4 * 60 + 2)
 
 
 def test_a_caller_is_not_closed_as_silent_while_its_set_up_waits_to_be_read(beds: Any) -> None:
@@ -62,8 +62,8 @@
     crowd.send(*[bed.setup(left=8000, cores=0.01, memory=0.01) for _ in range(400)])
     bed.run(lambda: crowd.received(Kind.ANSWER))
     late.send(bed.setup(left=8000))
-    bed.run(lambda: answers(late) or late.closed)
-    assert not late.closed and len(answers(late)) == 1
+    bed.run(lambda: get_answers(late) or late.closed)
+    assert not late.closed and len(get_answers(late)) == 1
 
 
 def test_a_dial_that_came_up_is_not_timed_out_by_a_late_look(beds: Any) -> None:
@@ -71,7 +71,7 @@
     slow_down(bed)
     owner = Owner(bed)
     owner.send(*[bed.setup(left=8000, cores=0.01, memory=0.01) for _ in range(60)])
-    bed.run(lambda: len(answers(owner)) == 60)
+    bed.run(lambda: len(get_answers(owner)) == 60)
     assert not [row for row in bed.logged if row["event"] == "machine.unreached"]
 
 
@@ -79,21 +79,21 @@
     # Guards against requests whose answer comes after their time, as their callers were not even accepted.
     bed = beds(*[accept_all] * 8, sockets=2048)
     slow_down(bed)
-    door, left_ms = bed.service.door, 2000
-    accept = door._listener._accept
+    server, left_ms = bed.service.owners, 2000
+    accept = server._listener._accept
 
     def accept_slowly(sock: Any) -> None:
         bed.clock.advance(ACCEPT_NS)
         accept(sock)
 
-    door._listener._accept = accept_slowly
+    server._listener._accept = accept_slowly
     begun_ns, callers = bed.clock.now_ns(), [Owner(bed) for _ in range(250)]
     for caller in callers:
         caller.send(bed.setup(left=left_ms, cores=0.01, memory=0.01))
-    bed.run(lambda: door.count() == len(callers))
+    bed.run(lambda: server.count_connections() == len(callers))
     assert bed.clock.now_ns() - begun_ns <= left_ms * MS
-    bed.run(lambda: all(len(answers(caller)) == 1 for caller in callers))
-    assert bed.clock.now_ns() - begun_ns <= left_ms * MS + LATE_NS
+    bed.run(lambda: all(len(get_answers(caller)) == 1 for caller in callers))
+    assert bed.clock.now_ns() - begun_ns <= left_ms * MS + ANSWER_GRACE_NS
 
 
 def test_a_real_process_tells_an_end_before_it_has_placed_a_crowd(process_beds: Any) -> None:
@@ -123,9 +123,9 @@
     asked = {owner: [bed.setup() for _ in range(100)] for owner in owners}
     for owner, setups in asked.items():
         owner.send(*setups)
-    bed.run(lambda: all(owner.closed or len(answers(owner)) >= 100 for owner in owners))
+    bed.run(lambda: all(owner.closed or len(get_answers(owner)) >= 100 for owner in owners))
     for owner, setups in asked.items():
-        assert sorted(each.id for each in answers(owner)) == sorted(each.id for each in setups)
+        assert sorted(each.id for each in get_answers(owner)) == sorted(each.id for each in setups)
     assert not any(owner.closed for owner in owners)
 
 
@@ -140,16 +140,16 @@
     links = bed.service.links
     for machine in bed.machines:
         link = links.get(machine.name)
-        hear = link.on_message
+        on_message = link.on_message
 
-        def slow(conn: Any, message: Message, hear: Any = hear) -> None:
-            bed.clock.advance(READING_NS)
-            hear(conn, message)
+        def slow(conn: Any, message: Message, on_message: Any = on_message) -> None:
+            bed.clock.advance(MESSAGE_NS)
+            on_message(conn, message)
 
         link.on_message = slow
     for owner in owners:
         owner.send(*[bed.setup(left=9000, cores=0.01, memory=0.01) for _ in range(100)])
-    bed.run(lambda: bed.service.tasks.open > 300)
+    bed.run(lambda: bed.service.tasks.open_count > 300)
     for machine, asked in zip(bed.machines, held, strict=True):
         machine.conns[0].send(release(asked.id, 16))
     begun_ns = bed.clock.now_ns()
@@ -165,6 +165,6 @@
     owners = [Owner(bed) for _ in range(2)]
     for owner in owners:
         owner.send(*[bed.setup(left=1000, cores=0.01, memory=0.01) for _ in range(200)])
-    bed.run(lambda: sum(len(answers(owner)) for owner in owners) == 400)
+    bed.run(lambda: sum(len(get_answers(owner)) for owner in owners) == 400)
     assert not [row for row in bed.logged if row["event"] == "unanswered"]
     assert {each.cause for owner in owners for each in owner.received(Kind.RELEASE)} == {42}
--- a/tests/platform/test_eviction.py
+++ b/tests/platform/test_eviction.py
@@ -12,14 +12,19 @@
 
 def test_the_least_known_goes_first_and_of_those_the_longest_unheard() -> None:
     order: EvictionOrder[str] = EvictionOrder()
-    for name, trust in (("a", Trust.NONE), ("b", Trust.CARRIED), ("c", Trust.TESTED), ("d", Trust.NONE)):
-        order.heard(name, trust)
+    for name, trust in (
+        ("a", Trust.NONE),
+        ("b", Trust.HAD_TASK),
+        ("c", Trust.VALID_MESSAGE),
+        ("d", Trust.NONE),
+    ):
+        order.update(name, trust)
     assert list(order) == ["a", "d", "c", "b"]
-    order.heard("a", Trust.NONE)
+    order.update("a", Trust.NONE)
     assert list(order) == ["d", "a", "c", "b"]
-    order.heard("d", Trust.ASKED)
-    order.forget("c")
-    order.forget("never seen")
+    order.update("d", Trust.VALID_SETUP)
+    order.remove("c")
+    order.remove("never seen")
     assert list(order) == ["a", "d", "b"]
 
 
@@ -29,9 +34,9 @@
     for callers in (20, 100):
         bed = beds(accept_all, sockets=512)
         strangers = [Owner(bed) for _ in range(callers)]
-        bed.run(lambda bed=bed, callers=callers: bed.service.door.count() == callers)
-        made, cost = count_calls(bed.service.door._make_room)
-        assert made and bed.service.door.count() == callers - 1
+        bed.run(lambda bed=bed, callers=callers: bed.service.owners.count_connections() == callers)
+        made, cost = count_calls(bed.service.owners._make_room)
+        assert made and bed.service.owners.count_connections() == callers - 1
         costs.append(cost)
         del strangers
     assert costs[1] < 1.2 * costs[0]
--- a/tests/platform/test_gone.py
+++ b/tests/platform/test_gone.py
@@ -11,7 +11,7 @@
 
 from ladderhub.decide.scheduler import SWEEP_TIMER
 from ladderhub.interface import TimerFired
-from ladderhub.platform.ownerconn import PORTION
+from ladderhub.platform.ownerconn import READ_BYTES
 from ladderhub.signalling import Kind, Message, encode_line
 from tests.platform.bed import Bed, Owner, accept_all, ignore_all, release
 
@@ -21,7 +21,7 @@
 def leave(bed: Bed, owner: Owner, id: str, how: str) -> None:
     """The owner disconnects or cancels, and the scheduler has not read that yet."""
     cancel = Message(Kind.RELEASE, id, 16)
-    (conn,) = (each for each in bed.service.door._conns if id in each.open)
+    (conn,) = (each for each in bed.service.owners._conns if id in each.open_tasks)
     if how == "closes":
         owner.stream.abort()
     elif how == "resets":
@@ -29,7 +29,7 @@
         owner.stream.abort()
     elif how == "cancels behind a portion":
         ping = encode_line(Message(Kind.PROGRESS, "0" * 16))
-        owner.send(ping * (3 * PORTION // len(ping)), cancel)
+        owner.send(ping * (3 * READ_BYTES // len(ping)), cancel)
     else:
         conn.stream.pause(how.endswith("paused"))
         owner.send(cancel)
@@ -50,7 +50,7 @@
     link = bed.service.links.get(machine.name)
     link.on_message(link.conns[0], release(asked.id, 34))
     bed.run()
-    assert len(bed.machine_messages) == 1 and bed.service.tasks.open == 0
+    assert len(bed.machine_messages) == 1 and bed.service.tasks.open_count == 0
     assert not bed.module().tasks and not bed.service.tasks._by_number
 
 
@@ -67,7 +67,7 @@
     conn.stream._ready(2)
     assert conn.stream.connected
     bed.run()
-    assert not bed.machine_messages and bed.service.tasks.open == 0 and not bed.module().tasks
+    assert not bed.machine_messages and bed.service.tasks.open_count == 0 and not bed.module().tasks
 
 
 @pytest.mark.parametrize("how", WAYS_TO_LEAVE)
@@ -97,7 +97,7 @@
     owner.send(*(bed.setup() for _ in range(5)))
     owner.stream.abort()
     bed.run()
-    assert not bed.machine_messages and bed.service.tasks.open == 0 and not bed.module().tasks
+    assert not bed.machine_messages and bed.service.tasks.open_count == 0 and not bed.module().tasks
     asked = bed.setup()
     other.send(asked)
     bed.run(lambda: other.received(Kind.ANSWER))
@@ -119,6 +119,6 @@
     # Cores become free, and the waiting tasks are swept before the owner's close is read.
     link = bed.service.links.get("m0")
     link.on_message(link.conns[0], release(full.id, 16))
-    bed.service.tasks._tell(TimerFired(SWEEP_TIMER))
+    bed.service.tasks._dispatch(TimerFired(SWEEP_TIMER))
     bed.run(lambda: [m for m in other.received(Kind.ANSWER) if m.id == last.id], span_ns=0)
     assert [m.id for m in bed.machines[0].received(Kind.SETUP)] == [full.id, last.id]
--- a/tests/platform/test_intake.py
+++ b/tests/platform/test_intake.py
@@ -5,23 +5,23 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ladderhub.platform.intake import Intake
+from ladderhub.platform.setup_queue import SetupQueue
 from ladderhub.signalling import Kind, Message
 from tests.platform.bed import NEVER_RAN_CAUSES, Owner, S, ignore_all
 from tests.platform.test_crowd import slow_down
 
 
 @dataclass
-class Waiting:
+class FakeSetup:
     name: str
     until_ns: int = 1000
     waiting: bool = True
 
-    def waits(self) -> bool:
+    def is_waiting(self) -> bool:
         return self.waiting
 
 
-def taken(intake: Intake[Waiting], now_ns: int = 0) -> list[str]:
+def take_all(intake: SetupQueue[FakeSetup], now_ns: int = 0) -> list[str]:
     names = []
     while (each := intake.take(now_ns)) is not None:
         each.waiting = False
@@ -30,30 +30,30 @@
 
 
 def test_callers_have_turns_and_each_is_served_in_its_order() -> None:
-    intake: Intake[Waiting] = Intake(10, 100)
+    intake: SetupQueue[FakeSetup] = SetupQueue(10, 100)
     for name in ("a1", "a2", "a3", "b1", "b2", "c1"):
-        intake.add(name[0], Waiting(name))
-    assert taken(intake) == ["a1", "b1", "c1", "a2", "b2", "a3"]
+        intake.add(name[0], FakeSetup(name))
+    assert take_all(intake) == ["a1", "b1", "c1", "a2", "b2", "a3"]
     assert len(intake) == 0
 
 
 def test_one_whose_time_is_nearly_over_goes_first() -> None:
-    intake: Intake[Waiting] = Intake(10, 100)
+    intake: SetupQueue[FakeSetup] = SetupQueue(10, 100)
     for name, until_ns in (("a1", 1000), ("a2", 50), ("b1", 40)):
-        intake.add(name[0], Waiting(name, until_ns))
-    assert taken(intake, 39)[:1] == ["b1"]
-    intake.add("a", Waiting("a3"))
-    assert taken(intake) == ["a3"]
+        intake.add(name[0], FakeSetup(name, until_ns))
+    assert take_all(intake, 39)[:1] == ["b1"]
+    intake.add("a", FakeSetup("a3"))
+    assert take_all(intake) == ["a3"]
 
 
 def test_one_that_no_longer_waits_is_passed_over() -> None:
-    intake: Intake[Waiting] = Intake(10, 2)
-    first, second = Waiting("a1"), Waiting("a2")
+    intake: SetupQueue[FakeSetup] = SetupQueue(10, 2)
+    first, second = FakeSetup("a1"), FakeSetup("a2")
     intake.add("a", first)
     intake.add("a", second)
-    assert intake.full()
+    assert intake.is_full()
     first.waiting = False
-    assert taken(intake) == ["a2"] and not intake.full()
+    assert take_all(intake) == ["a2"] and not intake.is_full()
 
 
 def test_what_waits_to_be_placed_is_refused_when_the_process_ends(beds: Any) -> None:
@@ -63,10 +63,10 @@
     setups = [bed.setup(left=9000, cores=0.01, memory=0.01) for _ in range(30)]
     owner.send(*setups)
     bed.run(lambda: bed.machine_messages)
-    bed.service.tasks.answer_now()
+    bed.service.tasks.answer_all()
     bed.run(lambda: len(owner.received(Kind.RELEASE)) == 30)
     assert all(each.cause in (*NEVER_RAN_CAUSES, 41) for each in owner.received(Kind.RELEASE))
-    assert len(bed.machines[0].received(Kind.SETUP)) < 30 and not bed.service.tasks.open
+    assert len(bed.machines[0].received(Kind.SETUP)) < 30 and not bed.service.tasks.open_count
 
 
 def test_a_set_up_taken_back_before_its_turn_begins_nothing(beds: Any) -> None:
--- a/tests/platform/test_journal.py
+++ b/tests/platform/test_journal.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from ladderhub.platform.config import load
+from ladderhub.platform.config import load_config
 from ladderhub.signalling import Kind, Message
 from ladderhub.loop import Listener
 from tests.platform.bed import MS, Journal, Machine, Owner, S
@@ -112,7 +112,7 @@
     assert not [row for row in bed.logged if row["event"] == "journal.closed"]
     bed.file["known"] = {"pos": 1, "entries": [event(1, *rows, full=True)]}
     bed.path.write_text(json.dumps(bed.file))
-    (known,) = load(bed.environment).known  # and a scheduler starts on such a list
+    (known,) = load_config(bed.environment).known  # and a scheduler starts on such a list
     assert known.rows is not None and len(known.rows) + len(known.spoilt) == 2
 
 
@@ -152,7 +152,7 @@
     for _ in range(20):
         services[2].write(b"4\n")
         bed.run(span_ns=100 * MS)
-    assert [len(service.streams) for service in services] == [0, 0, 1] and not follower._old
+    assert [len(service.streams) for service in services] == [0, 0, 1] and not follower._old_conns
     assert bed.service.links.get("m7") is None and len(services[2].requests) == 1
 
 
@@ -189,7 +189,7 @@
     for _ in range(12):
         crowd += [Owner(bed) for _ in range(10)]
         bed.run(span_ns=100 * MS)
-        second = bed.service.door.count() + bed.service.links.connection_count
+        second = bed.service.owners.count_connections() + bed.service.links.connection_count
         assert second + 12 <= 48 and not good.closed
     bed.journal.listener = Listener(bed.loop, address, bed.journal._accept)
     bed.run(lambda: len(bed.journal.requests) == 2, span_ns=150 * MS)
@@ -217,7 +217,7 @@
     if way == "over a dial":
         bed.service.links.get("m0").conns[0].stream._ready(2)
     else:
-        (conn,) = bed.service.door._conns
+        (conn,) = bed.service.owners._conns
         conn.stream._ready(1)
     bed.run(span_ns=S)
     assert not bed.machine_messages and [m.cause for m in owner.received(Kind.RELEASE)] == [42]
--- a/tests/platform/test_late.py
+++ b/tests/platform/test_late.py
@@ -7,7 +7,7 @@
 import json
 from typing import Any
 
-from ladderhub.platform.follower import SILENT_NS as JOURNAL_SILENT_NS
+from ladderhub.platform.follower import SILENCE_LIMIT_NS as JOURNAL_SILENT_NS
 from ladderhub.platform.liveness import SILENCE_LIMIT_NS
 from ladderhub.signalling import Kind, Message
 from tests.platform.bed import MS, Owner, S, accept_all, event, ignore_all, place_task
@@ -88,6 +88,6 @@
     (stream,) = bed.journal.streams
     bed.journal.write(json.dumps(event(2, bed.machines[0].row("draining"))).encode() + b"\n")
     bed.clock.advance(JOURNAL_SILENT_NS + MS)
-    bed.service.follower._look()
+    bed.service.follower._check_silence()
     bed.run()
     assert bed.journal.streams == [stream] and bed.service.follower.pos == 2
--- a/tests/platform/test_log.py
+++ b/tests/platform/test_log.py
@@ -16,7 +16,7 @@
 import pytest
 
 from ladderhub.lab.ports import free_port
-from ladderhub.platform.report import KEPT_MOST, Outlet
+from ladderhub.platform.report import MAX_BUFFERED_BYTES, LogWriter
 from ladderhub.signalling import Kind, Message, encode_line
 from tests.platform.bed import settings
 from tests.platform.process_bed import ROOT
@@ -53,18 +53,18 @@
 def test_lines_wait_for_a_slow_reader_within_a_bound_and_leave_whole() -> None:
     reads, writes = os.pipe()
     fcntl.fcntl(writes, fcntl.F_SETPIPE_SZ, 4096)
-    outlet = Outlet(writes)
-    lines = [b"%06d" % number + b"-" * 993 + b"\n" for number in range(2 * KEPT_MOST // 1000)]
+    writer = LogWriter(writes)
+    lines = [b"%06d" % number + b"-" * 993 + b"\n" for number in range(2 * MAX_BUFFERED_BYTES // 1000)]
     for line in lines:
-        outlet.write(line)
-    assert outlet.dropped > 0
+        writer.write(line)
+    assert writer.dropped > 0
     got = b""
-    while outlet.waiting():
+    while writer.count_buffered():
         got += os.read(reads, 4096)
-        outlet.flush()
+        writer.flush()
     got += os.read(reads, 4096)
     kept = got.splitlines(keepends=True)
-    assert kept == lines[: len(kept)] and len(kept) + outlet.dropped == len(lines)
+    assert kept == lines[: len(kept)] and len(kept) + writer.dropped == len(lines)
     os.close(reads)
     os.close(writes)
 
@@ -74,15 +74,15 @@
     monkeypatch: pytest.MonkeyPatch, fault: int
 ) -> None:
     reads, writes = os.pipe()
-    outlet = Outlet(writes)
+    writer = LogWriter(writes)
 
     def fail(*_: Any) -> int:
         raise OSError(fault, os.strerror(fault))
 
     with monkeypatch.context() as patch:
         patch.setattr(os, "write", fail)
-        outlet.write(b"one\n")
-    outlet.write(b"two\n")
+        writer.write(b"one\n")
+    writer.write(b"two\n")
     assert os.read(reads, 100) in (b"two\n", b"one\ntwo\n")
     os.close(reads)
     os.close(writes)
--- a/tests/platform/test_machines.py
+++ b/tests/platform/test_machines.py
@@ -102,7 +102,7 @@
     # All at once, each on a connection of its own; half of the descriptors would be 128.
     assert links.connection_count == 140
     crowd = [Owner(bed) for _ in range(120)]
-    bed.run(lambda: bed.service.door.count() == 121)
+    bed.run(lambda: bed.service.owners.count_connections() == 121)
     assert links.connection_count == links.max_connections() == 256 - 128 - 12
     assert not owner.received(Kind.RELEASE) and not any(each.closed for each in crowd)
 
@@ -138,7 +138,7 @@
         bed.run()
     leaving = next(machine for machine in bed.machines if machine.name == name)
     assert offers(written=False)
-    bed.service.take(decode_event(json.dumps(event(2, leaving.row("draining"))).encode()))
+    bed.service.apply_event(decode_event(json.dumps(event(2, leaving.row("draining"))).encode()))
     begun = offers(written=True)
     for conn in leaving.conns:
         conn.stream.pause(False)
@@ -154,9 +154,9 @@
     def rows(first: int) -> list[dict[str, Any]]:
         return [real.row() | {"name": f"m{at}", "group": at // 6} for at in range(first, first + 1024)]
 
-    bed.service.take(decode_event(json.dumps(event(2, *rows(0), full=True)).encode()))
+    bed.service.apply_event(decode_event(json.dumps(event(2, *rows(0), full=True)).encode()))
     assert sum(not machine.is_unavailable for machine in bed.module().fleet.machines.values()) == 1024
-    bed.service.take(decode_event(json.dumps(event(3, *rows(1024), full=True)).encode()))
+    bed.service.apply_event(decode_event(json.dumps(event(3, *rows(1024), full=True)).encode()))
     assert {place_task(bed, owner).id for _ in range(20)} == {m.id for m in real.received(Kind.SETUP)}
     assert all(int(offer.machine[1:]) >= 1024 for link in bed.service.links._links.values()
                for offer in link.running.values())  # fmt: skip
@@ -256,8 +256,8 @@
     bed.run(lambda: owner.received(Kind.RELEASE))
     machine.conns[0].stream.abort()
     asked = bed.setup("bill")
-    (conn,) = bed.service.door._conns
-    bed.service.door.hear(conn, asked)  # while that close is unread
+    (conn,) = bed.service.owners._conns
+    bed.service.owners.on_message(conn, asked)  # while that close is unread
     bed.run(lambda: len(owner.received(Kind.ANSWER)) == 2)
     assert bed.service.tasks._report.counts["dial.setup"] == 2
     machine.conns[0].send(release(asked.id, 16))
@@ -288,11 +288,11 @@
     bed.run(span_ns=100 * MS)
     unsafe = bed.setup("bill", left=3000)
     last = bed.machines[4]
-    bed.service.take(decode_event(json.dumps(event(2, last.row("draining"))).encode()))
+    bed.service.apply_event(decode_event(json.dumps(event(2, last.row("draining"))).encode()))
     owner.send(unsafe)
     bed.run(span_ns=1_200 * MS)
     assert not owner.received(Kind.RELEASE)
-    bed.service.take(decode_event(json.dumps(event(3, last.row())).encode()))
+    bed.service.apply_event(decode_event(json.dumps(event(3, last.row())).encode()))
     bed.run(lambda: [m for m in owner.received(Kind.ANSWER) if m.id == unsafe.id], span_ns=1_500 * MS)
     assert [m.name for m, message in bed.machine_messages if message.id == unsafe.id] == ["m4"]
     assert not owner.received(Kind.RELEASE) and with_tasks and tasks
--- a/tests/platform/test_owners.py
+++ b/tests/platform/test_owners.py
@@ -108,7 +108,7 @@
         and not owner.received(Kind.ANSWER)
         and owner.received(Kind.RELEASE)[0].cause not in NEVER_RAN_CAUSES
     )
-    assert bed.service.tasks.open == 0
+    assert bed.service.tasks.open_count == 0
 
 
 def test_silent_callers_are_closed_in_time_and_go_first_when_room_is_short(beds: Any) -> None:
@@ -133,7 +133,7 @@
     good = Owner(bed)
     bed.run()
     asked = bed.setup()
-    listener = bed.service.door._listener
+    listener = bed.service.owners._listener
     assert listener is not None
     good.send(asked)  # written, and not read before forty others are accepted
     others = [socket.create_connection(bed.owner_address) for _ in range(40)]
@@ -239,7 +239,7 @@
     place_task(bed, owner)
     ((machine, _),) = bed.machine_messages
     bed.service.links.get(machine.name).dial("line")  # so that the link is not forgotten at once
-    bed.service.take(decode_event(json.dumps(event(2, machine.row("gone"))).encode()))
+    bed.service.apply_event(decode_event(json.dumps(event(2, machine.row("gone"))).encode()))
     at = bed.handover(machine)
     owner.send(at)
     bed.run(lambda: [m for m in owner.received(Kind.RELEASE) if m.id == at.id])
@@ -266,15 +266,15 @@
     bed = beds(accept_all)
     bad = Owner(bed)
     bed.run()
-    (conn,) = bed.service.door._conns
+    (conn,) = bed.service.owners._conns
     bad.stream.pause(True)
     while not conn.stream.unsent():
         conn.stream.write(encode_line(Message(Kind.PROGRESS, "0" * 16)) * 1000)
     bad.send(b"noise\n")
     bed.run(span_ns=2 * S)
-    assert bed.service.door.count() == 1
+    assert bed.service.owners.count_connections() == 1
     bed.run(span_ns=S)
-    assert bed.service.door.count() == 0 and conn.stream.closed
+    assert bed.service.owners.count_connections() == 0 and conn.stream.closed
 
 
 def test_an_end_that_comes_before_its_task_is_handed_over_is_told_once(beds: Any) -> None:
--- a/tests/platform/test_placing.py
+++ b/tests/platform/test_placing.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ladderhub.platform.placing import Placing
+from ladderhub.platform.placing import Placer
 
 MS = 1_000_000
 S = 1_000 * MS
@@ -34,26 +34,26 @@
             call()
 
 
-class Waiting:
+class FakeSetup:
     def __init__(self, number: int) -> None:
-        self.line, self.until_ns, self.queued = number % 3, 100 * S, True
+        self.owner, self.until_ns, self.queued = number % 3, 100 * S, True
 
-    def waits(self) -> bool:
+    def is_waiting(self) -> bool:
         return self.queued
 
 
-def placed_in_a_second(round_ns: int, place_ns: int) -> int:
+def count_placed_in_a_second(round_ns: int, place_ns: int) -> int:
     loop: Any = BusyLoop()
-    placed: list[Waiting] = []
+    placed: list[FakeSetup] = []
 
     def place(each: Any) -> None:
         loop.now += place_ns
         each.queued = False
         placed.append(each)
 
-    placing = Placing(loop, 0, place)
+    placing = Placer(loop, 0, place)
     for number in range(1000):
-        each: Any = Waiting(number)
+        each: Any = FakeSetup(number)
         assert placing.add(each)
     while loop.now < S:
         loop.turn(round_ns)
@@ -62,5 +62,5 @@
 
 def test_while_something_lies_unread_reading_has_the_greater_part_and_placing_its_turns() -> None:
     # Guards against either starving the other.
-    assert 10 <= placed_in_a_second(10 * MS, 10 * MS) <= 25
-    assert placed_in_a_second(200 * MS, 10 * MS) >= 5
+    assert 10 <= count_placed_in_a_second(10 * MS, 10 * MS) <= 25
+    assert count_placed_in_a_second(200 * MS, 10 * MS) >= 5
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -22,7 +22,7 @@
 ROOT = Path(__file__).parents[2]
 
 
-def start(folder: Path, **changes: Any) -> tuple[subprocess.Popen[str], int]:
+def start_process(folder: Path, **changes: Any) -> tuple[subprocess.Popen[str], int]:
     port = free_port()
     file = {"journal": f"127.0.0.1:{free_port()}", "settings": settings(), "known": {"pos": 0, "entries": []}}
     (folder / "c.json").write_text(json.dumps(file))
@@ -57,7 +57,7 @@
 
 
 def test_a_process_serves_and_ends_on_sigterm_with_all_that_was_taken_answered(tmp_path: Path) -> None:
-    child, port = start(tmp_path)
+    child, port = start_process(tmp_path)
     assert child.stderr is not None
     assert json.loads(child.stderr.readline())["event"] == "ready"
     fields: dict[str, str | int | float] = {"class": "web", "left": "1500", "tenant": "north", "key": "k"}
@@ -91,7 +91,7 @@
 def test_a_start_that_cannot_be_is_told_in_one_line(
     tmp_path: Path, changes: dict[str, str], status: int, said: str
 ) -> None:
-    child, _ = start(tmp_path, **changes)
+    child, _ = start_process(tmp_path, **changes)
     _, text = child.communicate(timeout=20)
     assert child.returncode == status and said in text
     assert len(text.splitlines()) == 1
@@ -103,7 +103,7 @@
         holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         holder.bind((own_host(), 0))  # no caller of other tests is given this address and port
         holder.listen()
-        child, _ = start(tmp_path, PROXY_LISTEN=":".join(map(str, holder.getsockname())))
+        child, _ = start_process(tmp_path, PROXY_LISTEN=":".join(map(str, holder.getsockname())))
         assert child.stderr is not None
         assert json.loads(child.stderr.readline())["event"] == "listen.taken"
     events = iter(json.loads(line)["event"] for line in child.stderr)
@@ -115,7 +115,7 @@
 
 def test_signals_until_the_last_moment_of_a_stop_end_no_process_by_a_signal(tmp_path: Path) -> None:
     # Guards against a stop that counts as a crash: the interpreter resets its handlers as it ends.
-    child, _ = start(tmp_path)
+    child, _ = start_process(tmp_path)
     assert child.stderr is not None
     while "ready" not in child.stderr.readline():
         pass
@@ -146,7 +146,7 @@
     # Guards against a start that a new configuration ends, as it comes while modules are loaded.
     (tmp_path / "sitecustomize.py").write_text(SLOW_IMPORT)
     imports, goes_on = tmp_path / "imports", tmp_path / "goes_on"
-    child, _ = start(tmp_path, PYTHONPATH=str(tmp_path), IMPORTS=str(imports), GOES_ON=str(goes_on))
+    child, _ = start_process(tmp_path, PYTHONPATH=str(tmp_path), IMPORTS=str(imports), GOES_ON=str(goes_on))
     while not imports.exists():
         assert child.poll() is None
     child.send_signal(signal.SIGHUP)
--- a/tests/platform/test_reset.py
+++ b/tests/platform/test_reset.py
@@ -184,7 +184,7 @@
     (conn,) = bed.machines[0].conns
     conn.reset()
     tasks = bed.service.tasks
-    tasks.end_standing(tasks.find(asked.id), NORMAL)  # before the reset is noticed
+    tasks.end_running(tasks.find(asked.id), NORMAL)  # before the reset is noticed
     bed.run(span_ns=2 * S)
     assert has_received_release(bed.machines[0], asked)
 
--- a/tests/platform/test_setups.py
+++ b/tests/platform/test_setups.py
@@ -200,7 +200,7 @@
     bed.run(lambda: len(owner.received(Kind.RELEASE)) == len(asked))  # the clock stands at the deadline
     bed.run()
     assert sorted(m.id for m in owner.received(Kind.RELEASE)) == sorted(m.id for m in asked)
-    assert not owner.received(Kind.ANSWER) and bed.service.tasks.open == 0
+    assert not owner.received(Kind.ANSWER) and bed.service.tasks.open_count == 0
 
 
 @pytest.mark.parametrize("meanwhile", ["drain", "given up", "out of time"])
@@ -212,13 +212,13 @@
     owner.send(asked)
     bed.run(lambda: bed.service.links.connection_count)  # dialled, and not up before the loop turns again
     if meanwhile == "drain":
-        bed.service.take(decode_event(json.dumps(event(2, bed.machines[0].row("draining"))).encode()))
+        bed.service.apply_event(decode_event(json.dumps(event(2, bed.machines[0].row("draining"))).encode()))
     elif meanwhile == "given up":
         bed.service.tasks.give_up(bed.service.tasks.find(asked.id))
     else:
         bed.clock.advance(2 * S)
     bed.run(span_ns=S // 2)
-    assert not bed.machine_messages and bed.service.tasks.open == (meanwhile == "drain")
+    assert not bed.machine_messages and bed.service.tasks.open_count == (meanwhile == "drain")
 
 
 def test_the_time_that_a_set_up_lay_unread_is_taken_from_its_time(beds: Any) -> None:
@@ -247,9 +247,9 @@
         bed.run(lambda owner=owner: len(owner.received(Kind.RELEASE)) == 5)
         owner.stream.abort()
     bed.run(span_ns=12 * S)
-    tasks, door = bed.service.tasks, bed.service.door
-    assert not tasks._by_number and not tasks._by_id and not tasks.open
-    assert not door._conns and not door._unheard
+    tasks, server = bed.service.tasks, bed.service.owners
+    assert not tasks._by_number and not tasks._by_id and not tasks.open_count
+    assert not server._conns and not server._unconfirmed
     assert bed.service.links.connection_count <= 6 and bed.loop.pending_timers() < 20
 
 
@@ -292,7 +292,9 @@
         assert link is not None and set(link.running) == stands[machine.name]
         assert round(view.requested.own[0]) == sum(view.active_services.values()) == len(stands[machine.name])
         assert not view.start_queue
-    assert sum(map(len, stands.values())) == 6 and len(module.tasks) == 6 and bed.service.tasks.open == 0
+    assert (
+        sum(map(len, stands.values())) == 6 and len(module.tasks) == 6 and bed.service.tasks.open_count == 0
+    )
 
 
 def test_a_fault_of_the_module_leaves_no_set_up_without_an_answer(
--- a/tests/platform/test_stop.py
+++ b/tests/platform/test_stop.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from ladderhub.platform.service import STILL_COMING_NS, STOP_EARLY_NS, STOP_MOST_NS
+from ladderhub.platform.service import ACCEPT_AFTER_STOP_NS, STOP_MARGIN_NS, MAX_STOP_NS
 from ladderhub.signalling import Kind, Message, encode_line
 from tests.platform.bed import (
     MS,
@@ -23,10 +23,12 @@
     release,
 )
 
-BOUND_NS = STILL_COMING_NS + STOP_MOST_NS  # SIGKILL comes no sooner; the settings' longest deadline is longer
+BOUND_NS = (
+    ACCEPT_AFTER_STOP_NS + MAX_STOP_NS
+)  # SIGKILL comes no sooner; the settings' longest deadline is longer
 
 
-def stopped(bed: Bed) -> list[dict[str, Any]]:
+def get_stopped_events(bed: Bed) -> list[dict[str, Any]]:
     return [row for row in bed.logged if row["event"] == "stopped"]
 
 
@@ -34,11 +36,11 @@
     bed = beds(accept_all, caught_up=False)
     owner = Owner(bed)
     owner.send(Message(Kind.PING, "0" * 16, 0))
-    bed.run(lambda: bed.service.door._waiting)
+    bed.run(lambda: bed.service.owners._waiting_pings)
     bed.service.stop()
     bed.run(lambda: owner.received(Kind.PONG))
     assert owner.received(Kind.PONG)[0].cause == 0
-    bed.run(lambda: stopped(bed), span_ns=S)
+    bed.run(lambda: get_stopped_events(bed), span_ns=S)
 
 
 @pytest.mark.parametrize("accepted", [True, False])
@@ -49,18 +51,18 @@
     bed.service.stop()
     if accepted:
         owner = Owner(bed)
-        bed.run(lambda: bed.service.door.count())
-    bed.clock.advance(STILL_COMING_NS)
+        bed.run(lambda: bed.service.owners.count_connections())
+    bed.clock.advance(ACCEPT_AFTER_STOP_NS)
     if not accepted:
         owner = Owner(bed)
     asked = bed.setup()
     owner.send(asked)
-    bed.service._settle()
+    bed.service._stop_accepting()
     bed.run(lambda: owner.received(Kind.ANSWER))
     with pytest.raises(OSError):
         socket.create_connection(bed.owner_address).close()
     bed.run(span_ns=200 * MS)
-    assert stopped(bed) and owner.closed
+    assert get_stopped_events(bed) and owner.closed
 
 
 def test_an_end_that_its_owner_has_not_heard_is_told_before_the_process_ends(beds: Any) -> None:
@@ -69,17 +71,17 @@
     asked = place_task(bed, first)
     place_task(bed, other)
     bed.service.stop()
-    bed.run(span_ns=STILL_COMING_NS + 20 * MS)
+    bed.run(span_ns=ACCEPT_AFTER_STOP_NS + 20 * MS)
     # Nothing is open, so the next look would end it; then a task ends, and its own connection goes.
     bed.machines[0].conns[0].send(release(asked.id, 16))
     bed.run(lambda: first.received(Kind.RELEASE))
     first.stream.abort()
     bed.run(lambda: other.received(Kind.RELEASE))
     bed.run(span_ns=S)
-    assert not stopped(bed)
+    assert not get_stopped_events(bed)
     other.send(Message(Kind.RELEASED, asked.id))
     bed.run(span_ns=200 * MS)
-    assert stopped(bed) and stopped(bed)[0]["ends"] == 0
+    assert get_stopped_events(bed) and get_stopped_events(bed)[0]["ends"] == 0
 
 
 def test_an_end_unread_as_the_process_looks_whether_it_may_end_is_told(beds: Any) -> None:
@@ -88,14 +90,14 @@
     owner = Owner(bed)
     asked = place_task(bed, owner)
     bed.service.stop()
-    bed.run(span_ns=STILL_COMING_NS - 20 * MS)
+    bed.run(span_ns=ACCEPT_AFTER_STOP_NS - 20 * MS)
     bed.machines[0].conns[0].send(release(asked.id, 16))
-    bed.service._quiet = True  # the look before found that nothing was owed
-    bed.service._look_settled()
-    assert not stopped(bed)
+    bed.service._nothing_owed = True  # the look before found that nothing was owed
+    bed.service._check_stopped()
+    assert not get_stopped_events(bed)
     bed.run(lambda: owner.received(Kind.RELEASE))
     bed.run(span_ns=200 * MS)
-    assert stopped(bed)
+    assert get_stopped_events(bed)
 
 
 def test_a_set_up_written_after_the_last_look_and_before_the_close_is_answered(
@@ -106,21 +108,21 @@
     owner, other = Owner(bed), Owner(bed)
     asked = bed.setup()
     bed.service.stop()
-    bed.run(span_ns=STILL_COMING_NS - 20 * MS)
-    bed.service.door.settle()
-    bed.service._quiet = True  # the look before found that nothing was owed
+    bed.run(span_ns=ACCEPT_AFTER_STOP_NS - 20 * MS)
+    bed.service.owners.stop_accepting()
+    bed.service._nothing_owed = True  # the look before found that nothing was owed
 
     def ask_late() -> int:
         owner.send(asked)
         return 0
 
     monkeypatch.setattr(bed.service.links, "count_unsent", ask_late)
-    bed.service._look_settled()
+    bed.service._check_stopped()
     monkeypatch.undo()
     bed.run(lambda: owner.received(Kind.RELEASE))
     assert owner.received(Kind.RELEASE)[0].cause in NEVER_RAN_CAUSES
     bed.run(span_ns=200 * MS)
-    assert stopped(bed) and owner.closed and other.closed
+    assert get_stopped_events(bed) and owner.closed and other.closed
 
 
 @pytest.mark.parametrize("klass", ["web", "bill"])
@@ -133,14 +135,14 @@
     owner.send(asked)
     bed.run(lambda: bed.machine_messages)
     begun = bed.clock.now_ns()
-    bed.run(span_ns=BOUND_NS - 600 * MS - STOP_EARLY_NS - 40 * MS)
+    bed.run(span_ns=BOUND_NS - 600 * MS - STOP_MARGIN_NS - 40 * MS)
     if klass == "web":
-        assert not owner.messages and not stopped(bed)
-    bed.run(span_ns=STOP_EARLY_NS)
+        assert not owner.messages and not get_stopped_events(bed)
+    bed.run(span_ns=STOP_MARGIN_NS)
     assert bed.clock.now_ns() - begun < BOUND_NS - 600 * MS
     (told,) = owner.received(Kind.RELEASE)
     assert told.id == asked.id and (told.cause in NEVER_RAN_CAUSES) == (klass == "web")
-    assert stopped(bed) and owner.closed
+    assert get_stopped_events(bed) and owner.closed
     assert klass == "bill" or bed.machines[0].received(Kind.RELEASE)
 
 
@@ -148,17 +150,17 @@
     bed = beds(accept_all)
     owner = Owner(bed, acknowledges=False)
     bed.run()
-    (conn,) = bed.service.door._conns
+    (conn,) = bed.service.owners._conns
     owner.stream.pause(True)
     owner.send(Message(Kind.PING, "0" * 16, 0))
     while not conn.stream.unsent():
         conn.stream.write(encode_line(Message(Kind.PROGRESS, "0" * 16)) * 1000)
     bed.service.stop()
     bed.run(span_ns=S)
-    assert not stopped(bed)
+    assert not get_stopped_events(bed)
     owner.stream.pause(False)
     bed.run(span_ns=500 * MS)
-    assert stopped(bed) and stopped(bed)[0]["unsent"] == 0
+    assert get_stopped_events(bed) and get_stopped_events(bed)[0]["unsent"] == 0
     bed.run(lambda: owner.closed)  # megabytes wait in the kernel, of which a round reads a portion
     assert owner.received(Kind.PONG) and not owner.reader.pending()
 
@@ -177,6 +179,6 @@
     bed.service.reload()
     bed.service.stop()
     bed.run(span_ns=400 * MS)
-    assert not owner.messages and not stopped(bed)
+    assert not owner.messages and not get_stopped_events(bed)
     bed.run(span_ns=1_400 * MS)
-    assert len(owner.received(Kind.RELEASE)) == 1 and stopped(bed)
+    assert len(owner.received(Kind.RELEASE)) == 1 and get_stopped_events(bed)
--- a/tests/platform/test_waited.py
+++ b/tests/platform/test_waited.py
@@ -14,11 +14,11 @@
 
 CALLERS = 300  # several times as many as are accepted in a round
 LEFT_MS = 3000
-REST_ROUNDS = 300
+IDLE_ROUNDS = 300
 SLACK_MS = 150  # the deadline passed on may be so far beyond what the client has left
 
 
-def passed_on_ms(bed: Bed) -> list[int]:
+def get_sent_deadlines_ms(bed: Bed) -> list[int]:
     """The deadlines that machines were told."""
     setups = [message for machine in bed.machines for message in machine.received(Kind.SETUP)]
     return [int(message.values[Code.WAIT]) for message in setups]
@@ -30,8 +30,8 @@
     for _ in range(CALLERS):
         Owner(bed).send(bed.setup("bill", left=2000, cores=0.01, memory=0.01))
     bed.clock.advance(700 * MS)
-    bed.run(lambda: len(passed_on_ms(bed)) == CALLERS)
-    assert max(passed_on_ms(bed)) <= 2000 - 700 + SLACK_MS
+    bed.run(lambda: len(get_sent_deadlines_ms(bed)) == CALLERS)
+    assert max(get_sent_deadlines_ms(bed)) <= 2000 - 700 + SLACK_MS
 
 
 def test_a_caller_is_not_charged_for_a_crowd_that_was_accepted_before_it(beds: Any) -> None:
@@ -40,10 +40,10 @@
     for _ in range(CALLERS):
         Owner(bed)
     bed.clock.advance(S)
-    bed.run(lambda: bed.service.door.count() == CALLERS)
+    bed.run(lambda: bed.service.owners.count_connections() == CALLERS)
     Owner(bed).send(bed.setup(left=2000))
-    bed.run(lambda: passed_on_ms(bed))
-    assert min(passed_on_ms(bed)) >= 2000 - 2 * SLACK_MS
+    bed.run(lambda: get_sent_deadlines_ms(bed))
+    assert min(get_sent_deadlines_ms(bed)) >= 2000 - 2 * SLACK_MS
 
 
 def test_a_first_set_up_is_not_charged_the_time_since_its_caller_connected(beds: Any) -> None:
@@ -53,7 +53,7 @@
     bed.run(span_ns=2 * S)
     owner.send(bed.setup(left=1500))
     bed.run(lambda: owner.messages)
-    assert owner.received(Kind.ANSWER) and min(passed_on_ms(bed)) >= 1500 - SLACK_MS
+    assert owner.received(Kind.ANSWER) and min(get_sent_deadlines_ms(bed)) >= 1500 - SLACK_MS
 
 
 def test_a_first_set_up_is_charged_its_accept_though_the_next_look_takes_long(
@@ -70,10 +70,10 @@
         return found
 
     monkeypatch.setattr(selector, "select", select_slowly)
-    monkeypatch.setattr(bed.service.door, "unseen_since_ns", lambda: bed.clock.now_ns() - 700 * MS)
+    monkeypatch.setattr(bed.service.owners, "get_waited_since_ns", lambda: bed.clock.now_ns() - 700 * MS)
     Owner(bed).send(bed.setup("bill", left=2000))
-    bed.run(lambda: passed_on_ms(bed))
-    assert max(passed_on_ms(bed)) <= 2000 - 700 + SLACK_MS
+    bed.run(lambda: get_sent_deadlines_ms(bed))
+    assert max(get_sent_deadlines_ms(bed)) <= 2000 - 700 + SLACK_MS
 
 
 def test_a_clock_that_moves_as_a_set_up_is_placed_leaves_its_answer_to_the_module(
@@ -100,16 +100,16 @@
 def test_a_clock_that_moves_as_a_set_up_is_taken_makes_its_time_no_longer(beds: Any) -> None:
     bed = beds(ignore_all)
     tasks = bed.service.tasks
-    take = tasks.take
+    take = tasks.accept
 
     def take_slowly(*args: Any) -> Any:
         bed.clock.advance(400 * MS)
         return take(*args)
 
-    tasks.take = take_slowly
+    tasks.accept = take_slowly
     Owner(bed).send(bed.setup("bill", left=2000))
-    bed.run(lambda: passed_on_ms(bed))
-    assert max(passed_on_ms(bed)) <= 2000 - 400 + SLACK_MS
+    bed.run(lambda: get_sent_deadlines_ms(bed))
+    assert max(get_sent_deadlines_ms(bed)) <= 2000 - 400 + SLACK_MS
 
 
 @pytest.mark.parametrize("callers", [1, 1000])
@@ -117,15 +117,15 @@
     process_beds: Any, callers: int
 ) -> None:
     # Guards against requests answered after their time by a scheduler that a thousand callers wait for.
-    told_ms: dict[str, list[int]] = {}
+    sent_deadlines_ms: dict[str, list[int]] = {}
 
-    def hear(conn: MachineConn, message: Message) -> None:
+    def on_message(conn: MachineConn, message: Message) -> None:
         if message.kind is Kind.SETUP:
-            told_ms.setdefault(message.id, []).append(int(message.values[Code.WAIT]))
+            sent_deadlines_ms.setdefault(message.id, []).append(int(message.values[Code.WAIT]))
             accept_all(conn, message)
 
-    bed = process_beds(*[hear] * 40, sockets=8192)
-    for _ in range(REST_ROUNDS):
+    bed = process_beds(*[on_message] * 40, sockets=8192)
+    for _ in range(IDLE_ROUNDS):
         bed.loop.turn(MS)
     os.kill(bed.child.pid, signal.SIGSTOP)  # within a wait, as it has nothing to do
     written_s: dict[str, float] = {}
@@ -145,6 +145,10 @@
     assert all(owner.received(Kind.ANSWER) for owner in owners)
     finals = [owner.received(Kind.ANSWER) + owner.received(Kind.RELEASE) for owner in owners]
     assert all(len(each) == 1 for each in finals) and not any(owner.closed for owner in owners)
-    assert told_ms
-    left_ms = {id: LEFT_MS - (woken_s - written_s[id]) * 1000 for id in told_ms}
-    assert not {id: told for id, told in told_ms.items() if max(told) > left_ms[id] + SLACK_MS}
+    assert sent_deadlines_ms
+    left_ms = {id: LEFT_MS - (woken_s - written_s[id]) * 1000 for id in sent_deadlines_ms}
+    assert not {
+        id: sent_deadlines
+        for id, sent_deadlines in sent_deadlines_ms.items()
+        if max(sent_deadlines) > left_ms[id] + SLACK_MS
+    }
