--- a/ladderhub/platform/__init__.py
+++ b/ladderhub/platform/__init__.py
@@ -1,8 +1,9 @@
-"""The door to Midshires' platform: one scheduler that speaks `signalling` on real sockets.
+"""A scheduler on Midshires' platform: speaks the `signalling` protocol on real sockets.
 
-Rooms: `config` (what a scheduler is told), `mapping` (what messages and lists mean to the module), `owners`
-(the door that owners come to), `links` (connections to machines), `follower` (the journal service), `tasks`
-(carries out what the decision module says), `report` (the log), `service` (all of them put together, signals,
-start and end).  No room chooses a machine, an answer or a pause: that is `decide`.  Must not import `server`,
-`owner`, `pbs`, `rollout` or `lab`, nor anything that the memory limit has no room for.
+Modules: `config` (the configuration), `mapping` (translates messages and lists for the decision module),
+`owners` (the server that owners connect to), `links` (connections to machines), `follower` (follows the
+journal service), `tasks` (executes the decision module's actions), `report` (the log) and `service`
+(assembles them; signals, start and stop).  None of them chooses a machine, an answer or a delay: `decide`
+does.  Must not import `server`, `owner`, `pbs`, `rollout` or `lab`, nor anything that does not fit into the
+memory limit.
 """
--- a/ladderhub/platform/config.py
+++ b/ladderhub/platform/config.py
@@ -1,6 +1,6 @@
-"""What a scheduler is told at its start: three variables of the environment and one file.
+"""The configuration of a scheduler: three environment variables and one file.
 
-The file is read and checked whole.  ConfigError says what, where and what was meant."""
+The file is read and checked as a whole.  ConfigError says what is wrong, where, and what was expected."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """A whole configuration.  Spans are nanoseconds."""
+    """A complete, checked configuration."""
 
     name: str
     listen: Address
@@ -67,8 +67,8 @@
     known: tuple[JournalEvent, ...]
     pos: int
     connect_timeout_ns: int
-    idle_timeout_ns: int  # machines close connections that were left idle for so long
-    has_connection_price: bool  # new connections to machines are paid for
+    idle_timeout_ns: int  # machines close connections that were idle for this long
+    has_connection_price: bool  # new connections to machines have a price
 
 
 def read_address(text: str, where: str) -> Address:
@@ -79,7 +79,7 @@
 
 
 def load_config(environment: Mapping[str, str]) -> Config:
-    """Read the file that PROXY_CONFIG names; PROXY_NAME and PROXY_LISTEN go before what it says."""
+    """Read the file that PROXY_CONFIG names; PROXY_NAME and PROXY_LISTEN override its fields."""
     path = environment.get("PROXY_CONFIG", "")
     if not path:
         raise ConfigError("not set", where="PROXY_CONFIG", expected="the path of the configuration file")
@@ -99,7 +99,7 @@
         limits, prices = read_object(file.settings, "ceilings"), read_object(file.settings, "prices")
     except (FieldError, ValueError, TypeError, AttributeError) as fault:
         raise ConfigError(str(fault), where=f"{path}: settings") from None
-    # On sockets a dial that came to nothing is no attempt: nobody has seen the set-up.
+    # A failed dial does not count as an attempt, since no machine received the set-up.
     settings = replace(settings, unreached_count=False)
     if file.limits.sockets < MIN_SOCKETS:
         where, meant = f"{path}: limits.sockets", f"at least {MIN_SOCKETS}"
--- a/ladderhub/platform/follower.py
+++ b/ladderhub/platform/follower.py
@@ -1,4 +1,4 @@
-"""Follows the journal service: the list as numbered events, through breaks, silence and a new address."""
+"""Follows the numbered events of the journal service, reconnecting after failures, silence or a move."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 MS = 1_000_000
 S = 1_000 * MS
 REDIAL_AFTER_NS = 100 * MS
-# A line comes each second; one that has not come after a second and a half has been missed.
+# The service sends a line each second; after this time without one the connection counts as dead.
 SILENCE_LIMIT_NS = 1_500 * MS
 CHECK_INTERVAL_NS = 100 * MS
-# Before a set-up leaves, what the service told meanwhile is read, if the last look is older than this.
+# Pending events are read before each set-up is sent, but no more often than this.
 MIN_READ_INTERVAL_NS = 2 * MS
 MAX_READ_BYTES = EVENT_MOST
-# At a start what was told meanwhile comes at once after the question; where nothing has come after so many
-# times what the connection took, there is nothing.
+# After connecting, the service sends missed events at once.  If nothing arrived after this many times the
+# duration of connecting, there are none.
 CATCH_UP_WAIT_FACTOR = 4
 
 
@@ -45,7 +45,7 @@
         events, fault = self.reader.feed(data)
         self.has_received = (
             self.has_received or fault is None
-        )  # else a line that stays spoilt is asked for without a pause
+        )  # not after invalid data only: it would be requested again without a pause
         for event in events:
             self.follower.handle_event(event)
         if not self.reader.pending():
@@ -58,7 +58,7 @@
 
 
 class JournalFollower:
-    """`take` hears each event once and in order.  `pos` is the number of the last one."""
+    """Calls `on_event` once for each event, in order.  `pos` is the number of the last one."""
 
     def __init__(
         self,
@@ -72,15 +72,15 @@
         self.loop, self._report, self._address, self.pos = loop, report, address, pos
         self.connect_timeout_ns, self._on_event = connect_timeout_ns, on_event
         self._conn: _Conn | None = None
-        self._old_conns: list[_Conn] = []  # to addresses that were changed; what they still tell counts
+        self._old_conns: list[_Conn] = []  # to previous addresses; their events still count
         self._last_read_ns = 0
-        self.caught_up = False  # what was told during the start has been taken
+        self.caught_up = False  # the events sent during the start were handled
         self.on_caught_up: Callable[[], None] = lambda: None
         report.gauges["journal"] = lambda: self.pos
 
     def start(self) -> None:
         self._started_ns = self.loop.now_ns()
-        # A service that can't be reached keeps no scheduler from serving by the list it has.
+        # If the service can't be reached, the scheduler still serves, with the list that it has.
         self.loop.call_later(self.connect_timeout_ns, self.mark_caught_up)
         self._dial()
         self.loop.call_later(CHECK_INTERVAL_NS, self._check_silence)
@@ -90,7 +90,7 @@
             self._conn = _Conn(self, self._address)
 
     def set_address(self, address: Address) -> None:
-        """The service has another address; the old connection is read until it ends or falls silent."""
+        """Follow the service at another address; the old connection is read until it closes or is silent."""
         if address == self._address:
             return
         self._address = address
@@ -100,7 +100,7 @@
         self._dial()
 
     def mark_caught_up(self) -> None:
-        """The list is as new as can be had: from now on tests are passed."""
+        """The list is as current as possible: pings may be answered from now on."""
         if not self.caught_up:
             self.caught_up = True
             after = (self.loop.now_ns() - self._started_ns) // 1000
@@ -108,10 +108,10 @@
             self.on_caught_up()
 
     def read_pending(self) -> None:
-        """Take what has been told and was not read yet.
+        """Read and handle pending events.
 
-        Danger: in a long round of the loop an event lies unread, and a set-up leaves for a machine that
-        counts as told to be leaving."""
+        In a long round of the loop an event may lie unread, and a set-up would be sent to a machine that was
+        already announced as draining."""
         now = self.loop.now_ns()
         if now - self._last_read_ns >= MIN_READ_INTERVAL_NS:
             self._last_read_ns = now
@@ -129,7 +129,7 @@
         if conn is self._conn:
             self._conn = None
             self._report.line("journal.closed", why=repr(fault)[:80], pos=self.pos)
-            # One that told something is dialled again at once, one that only accepts a little later.
+            # Reconnect at once if it sent something valid, otherwise a little later.
             self.loop.call_later(0 if conn.has_received else REDIAL_AFTER_NS, self._dial)
 
     def _check_silence(self) -> None:
@@ -137,6 +137,6 @@
         now = self.loop.now_ns()
         for conn in [*self._old_conns, *([self._conn] if self._conn is not None else [])]:
             if now - conn.last_heard_ns > SILENCE_LIMIT_NS:
-                conn.stream.read_now(MAX_READ_BYTES)  # its lines may lie there, and the lateness be ours
+                conn.stream.read_now(MAX_READ_BYTES)  # its lines may be unread, if this process is behind
                 if now - conn.last_heard_ns > SILENCE_LIMIT_NS:
                     conn.stream.abort(TimeoutError("silent"))
--- a/ladderhub/platform/ownerconn.py
+++ b/ladderhub/platform/ownerconn.py
@@ -1,4 +1,4 @@
-"""One connection of an owner: what was read on it, which of its set-ups are open, and how it is closed."""
+"""One connection of an owner: its incoming messages, its open set-ups, and how it is closed."""
 
 from __future__ import annotations
 
@@ -16,15 +16,16 @@
 from ladderhub.signalling.table import MESSAGE_MOST
 
 MS = 1_000_000
-# A set-up counts as taken once its last byte is written, read or not.  So after what can't be used a
-# connection is still read for as long as a set-up may cross its close, and each is told that it failed.
+# By the protocol a set-up counts as received once its last byte is written, whether it was read or not, and
+# may cross a close for this long.  So after invalid data a connection is read for this long, and every set-up
+# that arrives is failed.
 CLOSE_RACE_NS = 50 * MS
-READ_BYTES = MESSAGE_MOST  # bytes of one connection that are read at a time
-MAX_PENDING_READ_BYTES = 64 * READ_BYTES  # and that are read before a task of its owner is sent on
+READ_BYTES = MESSAGE_MOST  # read from one connection at a time
+MAX_PENDING_READ_BYTES = 64 * READ_BYTES  # read before a set-up of its owner is sent
 
 
 class OwnerConnHandler(Protocol):
-    """What a connection needs of the door that it came through."""
+    """The server that accepted a connection, which the connection reports to."""
 
     loop: Loop
     report: Report
@@ -35,13 +36,13 @@
     def on_message(self, conn: OwnerConn, message: Message) -> None: ...
 
     def on_activity(self, conn: OwnerConn) -> None:
-        """It said something, or has shown more than before."""
+        """It sent something, or its trust has changed."""
 
     def remove_conn(self, conn: OwnerConn) -> None:
-        """Nothing more is taken from it."""
+        """Nothing more is accepted from it."""
 
     def on_closing(self, conn: OwnerConn) -> None:
-        """What was written to it may not have left yet."""
+        """It is being closed, but may still have unsent data."""
 
     def on_closed(self, conn: OwnerConn) -> None: ...
 
@@ -55,17 +56,17 @@
         self.server = server
         self.opened_ns = self.last_heard_ns = server.loop.now_ns()
         self.trust = Trust.NONE
-        self.partial_since_ns = 0  # since when a line is unfinished
-        self._unread_since_ns = 0  # where bytes lie unread, since when they may
-        self.earliest_arrival_ns = self.opened_ns  # what was read last had come by then at the earliest
+        self.partial_since_ns = 0  # since when a line is incomplete, or 0
+        self._unread_since_ns = 0  # since when unread bytes may have waited, or 0
+        self.earliest_arrival_ns = self.opened_ns  # of the data that was read last
         self.open_tasks: dict[str, Task] = {}
-        self._inbox: deque[Message | SignalError] = deque()  # read, and not yet acted on
-        self.alive = True  # False once it is closed or about to be
+        self._inbox: deque[Message | SignalError] = deque()  # read and not handled yet
+        self.alive = True  # False once it is closed or being closed
         self.reader = LineReader()
         self.stream = Stream(server.loop, sock, self, read_most=READ_BYTES)
         self.peer = self.stream.peer().rpartition(":")[0]
         if self.stream.unread():
-            self._unread_since_ns = server.get_waited_since_ns()  # they came while it waited to be accepted
+            self._unread_since_ns = server.get_waited_since_ns()  # it waited to be accepted
 
     def on_data(self, stream: Stream, data: bytes) -> None:
         self.last_heard_ns = self.server.loop.now_ns()
@@ -98,15 +99,15 @@
                 self.server.on_message(self, each)
 
     def read_pending(self) -> None:
-        """Act on all that has come.
+        """Read and handle all that has arrived.
 
-        Danger: behind bytes not read yet lies that the owner takes its set-up back, or its end; what is sent
-        on after that is for nobody.  So this is done before each attempt, also where reading is paused."""
+        Called before each attempt, also while reading is paused: the unread data may cancel the set-up or
+        end the connection, and then nobody would use the started task."""
         self._handle_inbox()
         self.stream.read_now(MAX_PENDING_READ_BYTES)
 
     def reject(self, fault: SignalError) -> None:
-        """A message that can't be used: its sender is told, and its connection closed."""
+        """Reject an invalid message: fail the set-up that it names, and close the connection."""
         self.server.report.line("owner.turned_away", peer=self.peer, why=str(fault)[:120])
         if fault.id:
             twin = self.open_tasks.pop(fault.id, None)
@@ -116,8 +117,8 @@
         self.close("turned away", CLOSE_RACE_NS)
 
     def _handle_while_closing(self, each: Message | SignalError) -> None:
-        """What is read on a connection that is about to be closed: new set-ups fail, but what it says of
-        tasks that stand holds, as no connection owns these."""
+        """Handle a message on a connection that is being closed: new set-ups fail, but messages about running
+        tasks are handled, as these do not belong to a connection."""
         if isinstance(each, SignalError):
             self._write(Message(Kind.RELEASE, each.id, Cause.INVALID))
         elif each.kind in (Kind.RELEASE, Kind.RELEASED) or is_handover(each):
@@ -126,7 +127,7 @@
             self._write(Message(Kind.RELEASE, each.id, Cause.INVALID))
 
     def close(self, why: str, linger_ns: int = 0) -> None:
-        """Close, after lingering so long; each set-up that is open on it fails."""
+        """Fail the open set-ups, and close the connection after `linger_ns`."""
         if not self.alive:
             return
         for id in list(self.open_tasks):
@@ -167,10 +168,10 @@
         self.stream.write(encode_line(message))
 
     def get_silent_since_ns(self, now: int) -> int:
-        """Since when it has said nothing whole; now, where nothing is missing."""
+        """Since when a complete message is missing; `now` if none is."""
         return self.opened_ns if self.trust is Trust.NONE else self.partial_since_ns or now
 
     def is_idle(self) -> bool:
-        """Nothing is open on it, and nothing has come that was not read yet: a set-up counts as taken once it
-        was written, and closing over it would lose it."""
+        """Whether nothing is open on it and nothing is unread.  A set-up counts as received once it was
+        written, so closing with unread data could lose one."""
         return not self.open_tasks and not self.stream.unread()
--- a/ladderhub/platform/owners.py
+++ b/ladderhub/platform/owners.py
@@ -1,6 +1,6 @@
-"""The door that owners come to: connections, what may be read on them, and which must be closed.
+"""The server that owners connect to: accepts and closes their connections and handles their messages.
 
-Of set-ups only what can't be one is turned away here; everything else is the module's to decide.
+Only malformed set-ups are rejected here; all other decisions are the decision module's.
 """
 
 from __future__ import annotations
@@ -25,16 +25,17 @@
 
 MS = 1_000_000
 S = 1_000 * MS
-# A caller that can't be used is owed a close within 3 s of connecting: one that has said nothing whole by
-# then, or leaves a line unfinished for so long, is closed a little earlier.
+# Unusable connections must be closed within 3 s of connecting.  One that has sent no complete message for
+# this long since then, or leaves a line incomplete for this long, is closed a little earlier than that.
 SILENCE_LIMIT_NS = 2_500 * MS
 SWEEP_INTERVAL_NS = 100 * MS
-# A release of what stood is owed within 1 s.  Its owner says that it heard it, else it is told elsewhere.
+# The release of a task that ran must reach its owner within 1 s.  If the owner does not confirm it within
+# this time, it is sent again on another connection.
 RESEND_AFTER_NS = 200 * MS
 
 
 class _UnconfirmedNotice:
-    """A release that its owner has not said to have heard."""
+    """The release or move of a task, with the connections on which it was sent to the owner."""
 
     def __init__(self, message: Message, peer: str, until_ns: int) -> None:
         self.message, self.peer, self.until_ns = message, peer, until_ns
@@ -42,12 +43,12 @@
         self.tried_conns: list[OwnerConn] = []
 
     def rank(self, conn: OwnerConn) -> tuple[Trust, bool, int]:
-        """How well this connection suits for telling it, the greatest best."""
+        """Sort key of a connection on which it may be sent; the greatest is the best."""
         return conn.trust, conn.peer == self.peer, conn.last_heard_ns
 
 
 class OwnerServer:
-    """Listens for owners.  `most`: connections it may hold."""
+    """Listens for owners.  `max_connections`: how many connections it may hold."""
 
     def __init__(
         self,
@@ -62,31 +63,31 @@
         self._names, self._settings, self._max_connections = names, settings, max_connections
         self._conns: dict[OwnerConn, None] = {}
         self._eviction_order: EvictionOrder[OwnerConn] = EvictionOrder()
-        self._closing: dict[OwnerConn, int] = {}  # those that are about to be closed, and since when
+        self._closing: dict[OwnerConn, int] = {}  # connections being closed, and since when
         self._listener: Listener | None = None
         self.on_accepted: Callable[[], None] = lambda: None
-        # A list may be older than the start, and whoever passes a test gets set-ups at once.
+        # Owners send set-ups as soon as their ping is answered, so the machine list must be current first.
         self.can_answer_pings = False
-        self._waiting_pings: list[tuple[OwnerConn, str]] = []  # tests until then
-        self.stopping = False  # new callers are asked to stay away
-        self.refuses_setups = False  # and no set-up comes any more that would be owed an answer of the module
+        self._waiting_pings: list[tuple[OwnerConn, str]] = []  # unanswered pings
+        self.stopping = False  # pings are answered as failed, so that owners stay away
+        self.refuses_setups = False  # new set-ups are refused without asking the module
         tasks.notify_owner = self.notify_owner
         self._unconfirmed: dict[str, _UnconfirmedNotice] = {}
         self._early_ends: EarlyEnds[str, int] = EarlyEnds()  # causes by task
         report.gauges["owners"] = self.count_connections
 
     def start(self, address: Address) -> None:
-        """Open the door; OSError where the address can't be had."""
+        """Start to listen; OSError if the address can't be bound."""
         self._listener = Listener(self.loop, address, self._accept)
         self.loop.call_later(SWEEP_INTERVAL_NS, self._sweep)
 
     def get_waited_since_ns(self) -> int:
-        """Since when the caller that is being accepted may have waited."""
+        """The earliest time since when the caller that is being accepted may have waited."""
         assert self._listener is not None
         return self._listener.waited_since_ns
 
     def get_unaccepted_ns(self) -> int:
-        """For how long callers whom this round leaves to the next may have waited; 0 where there are none."""
+        """How long callers left to the next round may have waited to be accepted; 0 if there are none."""
         return self._listener.unaccepted_ns() if self._listener is not None else 0
 
     def take_longest_wait_ms(self) -> int:
@@ -94,20 +95,20 @@
         return self._listener.take_longest_wait_ns() // MS if self._listener is not None else 0
 
     def get_address(self) -> Address:
-        """Where the door is open."""
+        """The address that it listens on."""
         assert self._listener is not None
         return self._listener.address
 
     def count_connections(self) -> int:
-        """Connections that hold a descriptor."""
+        """The number of connections that hold a descriptor."""
         return len(self._conns) + len(self._closing)
 
     def count_unconfirmed(self) -> int:
-        """Ends that were told and that no owner said to have heard."""
+        """The number of releases that no owner has confirmed."""
         return len(self._unconfirmed)
 
     def start_answering_pings(self) -> None:
-        """From now on tests are answered, those that wait first."""
+        """Answer pings from now on, those that wait first."""
         self.can_answer_pings = True
         waiting, self._waiting_pings = self._waiting_pings, []
         for conn, id in waiting:
@@ -117,12 +118,12 @@
         conn.send(Message(Kind.PONG, id, TEST_FAILED if self.stopping else TEST_PASSED))
 
     def stop(self) -> None:
-        """From now on tests are failed, those that wait first."""
+        """Answer pings as failed from now on, those that wait first."""
         self.stopping = True
         self.start_answering_pings()
 
     def stop_accepting(self) -> None:
-        """Take what has come so far, on connections not accepted yet too, and nothing more."""
+        """Handle what has arrived so far, also on connections not accepted yet, then accept nothing more."""
         if self._listener is not None:
             self._listener.accept_waiting()
             self._listener.close()
@@ -131,8 +132,8 @@
         self.refuses_setups = True
 
     def count_owed(self) -> dict[str, int]:
-        """What owners have not got yet, or we have not read of theirs, in numbers; ends only where there is
-        anybody to tell them to."""
+        """Count unconfirmed releases, connections with unsent data and connections with unread data; releases
+        only if there is a connection to send them on."""
         conns = [*self._conns, *self._closing]
         return {
             "ends": len(self._unconfirmed) if self._conns else 0,
@@ -141,16 +142,17 @@
         }
 
     def close_idle(self) -> bool:
-        """Close the connections on which nothing lies unread; whether these were all.
+        """Close the connections without unread data; whether these were all.
 
-        Danger: a set-up may come between a look at all of them and the close, and would be lost with it."""
+        Each one is checked just before its close: a set-up that arrives after a check of all of them would be
+        lost."""
         for conn in list(self._conns):
             if conn.is_idle():
                 conn.close("stopping")
         return not self._conns
 
     def close(self) -> None:
-        """Close all of them, over whatever is open."""
+        """Close all connections, whatever is open on them."""
         for conn in [*self._conns, *self._closing]:
             conn.close("stopping")
             conn.stream.close()
@@ -163,7 +165,7 @@
         self._eviction_order.remove(conn)
 
     def on_closing(self, conn: OwnerConn) -> None:
-        """Nothing more is taken from it, but what was written may not have left yet."""
+        """Nothing more is accepted from it, but it may still have unsent data."""
         if not conn.stream.closed:
             self._closing[conn] = self.loop.now_ns()
 
@@ -183,8 +185,8 @@
         self.on_accepted()
 
     def _make_room(self) -> bool:
-        """Close one connection with nothing open on it: first those that never said anything, then those that
-        never carried a task (a crowd that only tests would else push the owners out), the longest unheard."""
+        """Close one connection with nothing open on it, in eviction order.  Connections that had no task go
+        first, otherwise many callers that only ping would displace the owners."""
         for conn in self._eviction_order:
             if conn.is_idle():
                 self.report.count("owner.evicted")
@@ -197,14 +199,14 @@
         now = self.loop.now_ns()
         for conn in list(self._conns):
             if conn.get_silent_since_ns(now) < now - SILENCE_LIMIT_NS:
-                # What lies unread may be a set-up, and the silence ours.
+                # There may be an unread set-up, if this process is behind.
                 conn.read_pending()
                 since = conn.get_silent_since_ns(now)
                 if conn.alive and since < now - SILENCE_LIMIT_NS:
                     self.report.line("owner.silent", peer=conn.peer, after_ms=(now - since) // MS)
                     conn.close("silent")
         for conn, since in list(self._closing.items()):
-            if now - since > SILENCE_LIMIT_NS:  # it does not read what it was sent, and holds a descriptor
+            if now - since > SILENCE_LIMIT_NS:  # the peer does not read, and holds a descriptor
                 conn.stream.abort(BufferError("the peer does not read"))
         for id, notice in list(self._unconfirmed.items()):
             if now > notice.until_ns:
@@ -213,11 +215,11 @@
             elif now > notice.sent_ns + RESEND_AFTER_NS:
                 self._send_notice(notice)
 
-    # --- what stood and is over ---------------------------------------------------------------------------
+    # --- ends of tasks ------------------------------------------------------------------------------------
 
     def notify_owner(self, owner: TaskOwner, message: Message) -> None:
-        """Tell an owner of a task that stood, on the connection of its set-up or else on another one, until
-        it is heard."""
+        """Send an owner the release or move of its running task, on the connection of the set-up or else on
+        another one.  A release is repeated until it is confirmed."""
         assert isinstance(owner, OwnerConn)
         notice = _UnconfirmedNotice(message, owner.peer, self.loop.now_ns() + RELEASE_DEADLINE_NS)
         if message.kind is Kind.RELEASE:
@@ -236,7 +238,7 @@
             owner.send(notice.message)
 
     def resend_lost(self, lost: OwnerConn) -> None:
-        """What was told on a connection that has ended, and not heard."""
+        """Send unconfirmed releases again whose last connection was this closed one."""
         for notice in list(self._unconfirmed.values()):
             if notice.tried_conns and notice.tried_conns[-1] is lost:
                 self._send_notice(notice)
@@ -268,31 +270,31 @@
         conn.trust = max(conn.trust, Trust.HAD_TASK if request.machine else Trust.VALID_SETUP)
         if known is not None:
             if request.machine and known.leg.state is State.STANDS:
-                known.owner = conn  # held already; its owner may be reached here
+                known.owner = conn  # already known: its owner can be reached here from now on
             elif message.id in conn.open_tasks:
-                # Two set-ups under one id: no answer could be told to belong to the one or the other.
+                # Two open set-ups with the same id: their answers could not be told apart.
                 conn.reject(SignalError("the id is that of an open set-up", message.id))
             else:
                 conn.send(Message(Kind.RELEASE, message.id, Cause.PROTOCOL))
         elif request.machine:
             self._adopt(conn, request)
         elif self.refuses_setups or message.fields.get("idem"):
-            # The second: no parameter of the machines' encoding is published for this key, and without it
-            # they would not know a repeat.  Nothing ran, so its owner may come again.
+            # `idem`: the machines' encoding has no published parameter for this key, and without it they
+            # would not recognize a repeated set-up.  BUSY, as nothing ran and its owner may try again.
             self.report.count("refused.settling" if self.refuses_setups else "refused.idem")
             conn.send(Message(Kind.RELEASE, message.id, Cause.BUSY))
         else:
             self.report.count("setups")
-            # Danger: the owner counts from when it sent, not from when a busy scheduler read it.  Harm: of a
-            # set-up that came late in the time between two looks a little is taken too much.
+            # The owner's time runs from when it sent the set-up, not from when a busy scheduler read it.  So
+            # count from the earliest time that it may have arrived, although that may be a little too early.
             task = self.tasks.accept(conn, request, conn.earliest_arrival_ns + request.left_ns)
-            # Danger: the owner may go while its task is being placed, and its close must find the task.
+            # Recorded before it is placed: the connection may close during that, and must find the task.
             conn.open_tasks[message.id] = task
             self.tasks.place(task)
 
     def _adopt(self, conn: OwnerConn, request: SetupRequest) -> None:
         task = self.tasks.adopt(conn, request)
-        # Danger: its end may have come on another connection, and been read before.
+        # Its owner may have ended it on another connection that was read earlier.
         cause = self._early_ends.take(self.loop.now_ns(), request.id)
         if cause is not None:
             self.report.count("adopted.ended")
--- a/ladderhub/platform/report.py
+++ b/ladderhub/platform/report.py
@@ -1,4 +1,4 @@
-"""The log: one JSON object a line on standard error, bounded in number so that no trouble can flood it."""
+"""The log: one JSON object per line on standard error, limited in rate so that no fault can flood it."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 S = 1_000_000_000
 STANDARD_ERROR = 2
-MAX_BUFFERED_BYTES = 256 * 1024  # bytes of lines that wait for a slow reader
-MACHINE_COUNT_PREFIX = "at."  # counts of attempts at one machine begin so
-MAX_LINES_PER_SECOND = 20  # of one event a second; more are counted in the next second's line
+MAX_BUFFERED_BYTES = 256 * 1024  # of lines that wait for a slow reader
+MACHINE_COUNT_PREFIX = "at."  # of the counters of attempts at one machine
+MAX_LINES_PER_SECOND = 20  # of one event; the others are only counted
 
 
 class Report:
-    """Counts, and the lines that are written of them."""
+    """Counts events and writes log lines."""
 
     def __init__(self, now_ns: Callable[[], int], write: Callable[[bytes], object] | None = None) -> None:
         self.counts: Counter[str] = Counter()
@@ -34,7 +34,7 @@
         self.counts[what] += amount
 
     def line(self, event: str, **fields: object) -> None:
-        """An unusual event; past the bound of a second it is only counted."""
+        """Log an unusual event; beyond MAX_LINES_PER_SECOND it is only counted."""
         now = self._now_ns()
         if now // S != self._current_second:
             self._current_second, self._line_counts = now // S, Counter()
@@ -44,14 +44,14 @@
             self._write_row({"at": now // 1_000_000, "event": event} | fields)
 
     def trouble(self, where: str, fault: BaseException) -> None:
-        """An exception that nobody expected."""
+        """Log an unexpected exception."""
         last = traceback.extract_tb(fault.__traceback__)[-3:]
         places = [f"{frame.name}:{frame.lineno}" for frame in last]
         self.line("trouble", where=where, fault=f"{type(fault).__name__}: {fault}"[:300], places=places)
 
     def write_second(self) -> None:
-        """The lines of each second: the gauges and what was counted since the last one; then the attempts by
-        machine, a line of their own, since in a large fleet they are most of it."""
+        """Write the lines of one second: the gauges and the counts since the last call, then the counts by
+        machine in a line of their own, as they are most of the output in a large fleet."""
         at_ms = self._now_ns() // 1_000_000
         counts, self.counts = self.counts, Counter()
         row: dict[str, object] = {"at": at_ms, "event": "second"}
@@ -67,10 +67,10 @@
 
 
 class LogWriter:
-    """Writes lines to a descriptor that is shared with others, and so stays a blocking one.
+    """Writes lines to a descriptor that is shared with other processes, and therefore stays blocking.
 
-    A reader that is slow or gone must not hold up or end the scheduler: lines wait for it within a bound, and
-    those beyond are dropped and counted."""
+    A slow or closed reader must not delay or end the scheduler: lines are buffered up to a limit, and further
+    ones are dropped and counted."""
 
     def __init__(self, fd: int) -> None:
         self._fd, self._buffer = fd, b""
@@ -79,11 +79,11 @@
         self.dropped = 0
 
     def count_buffered(self) -> int:
-        """Bytes that have not left yet."""
+        """The number of bytes that were not written yet."""
         return len(self._buffer)
 
     def write(self, line: bytes) -> None:
-        """Write one line, now or as the reader takes it."""
+        """Write one line, now or when the reader is ready."""
         if len(self._buffer) + len(line) > MAX_BUFFERED_BYTES:
             self.dropped += 1
         else:
@@ -91,7 +91,7 @@
         self.flush()
 
     def flush(self) -> None:
-        """Write what can be written without waiting: a pipe that takes anything takes PIPE_BUF bytes."""
+        """Write what can be written without blocking: a writable pipe accepts PIPE_BUF bytes."""
         try:
             while self._buffer and self._poll.poll(0):
                 self._buffer = self._buffer[os.write(self._fd, self._buffer[: select.PIPE_BUF]) :]
--- a/ladderhub/platform/service.py
+++ b/ladderhub/platform/service.py
@@ -1,4 +1,4 @@
-"""One scheduler on the platform: its rooms put together, its signals, its start and end."""
+"""One scheduler process on the platform: assembles its parts, handles signals, starts and stops."""
 
 from __future__ import annotations
 
@@ -28,32 +28,31 @@
 
 MS = 1_000_000
 S = 1_000 * MS
-# After SIGTERM connections come for 0.2 to 0.4 s and set-ups on open ones for 0.2 s more; what comes within
-# 0.7 s is owed an answer.  SIGKILL comes no sooner than the longest deadline after that, or 3 s where that is
-# longer.  What is open a little before that time is answered, so that the answers have left by then.
+# After SIGTERM new connections arrive for 0.2 to 0.4 s and set-ups on open ones for 0.2 s more; all that
+# arrives within 0.7 s must be answered.  SIGKILL comes no sooner than the longest deadline after that, or 3 s
+# if the deadline is longer.  Open set-ups are answered a little earlier, so that answers are sent by then.
 ACCEPT_AFTER_STOP_NS = 700 * MS
 MAX_STOP_NS = 3 * S
 STOP_MARGIN_NS = 200 * MS
 STOP_CHECK_INTERVAL_NS = 50 * MS
-# The port may be held by a predecessor that is still ending, and a file be read while it is being written.
+# A predecessor that is still ending may hold the port, and the file may be read while it is being written.
 RETRY_INTERVAL_NS = 100 * MS
 BIND_TIMEOUT_NS = 20 * S
 RELOAD_TIMEOUT_NS = 2 * S
-OWNER_CONNECTIONS_DIVISOR = (
-    2  # owners hold a third of the descriptors at most; half leaves room for strangers
-)
+# Owners hold a third of the descriptors at most; half of them leaves room for unknown callers.
+OWNER_CONNECTIONS_DIVISOR = 2
 
 
 class Service:
-    """Everything between `start` and the end of the loop."""
+    """One scheduler, from `start` to the end of the event loop."""
 
     def __init__(self, loop: Loop, config: Config, report: Report) -> None:
         self._loop, self._config, self._report = loop, config, report
         self.tasks = Tasks(loop, Scheduler(config.settings, config.seed), report)
         owner_limit = config.sockets // OWNER_CONNECTIONS_DIVISOR
         machine_limit = config.sockets - owner_limit - OWN_DESCRIPTORS
-        # Machines have the rest for sure, and what owners don't use, less a round of new callers; for each
-        # of those a connection to a machine is let go.
+        # Connections to machines get the rest, and also what owners don't use, less the number of callers
+        # that one round may accept: for each accepted caller one connection to a machine is closed.
         spare = config.sockets - OWN_DESCRIPTORS - ACCEPT_MOST
         self.links = Links(
             loop, report, self.tasks, config.connect_timeout_ns, config.idle_timeout_ns,
@@ -74,8 +73,8 @@
         self.tasks.read_journal = self.follower.read_pending
         self._stop_deadline_ns = self._late_ms = self._next_second_ns = self._unread_ms = 0
         self._cpu_s, self._nothing_owed = 0.0, False
-        self.bind_error: OSError | None = None  # why the loop was ended, where that was no stop
-        # First what tells whether the process keeps up, since readers of the log may cut long lines.
+        self.bind_error: OSError | None = None  # why the loop ended, if it was not stopped
+        # The pace of the process comes first, since log readers may truncate long lines.
         report.gauges = self._make_pace_gauges() | report.gauges
         report.gauges |= {
             "machines": lambda: self.links.connection_count,
@@ -87,7 +86,7 @@
         }
 
     def start(self) -> None:
-        """Take the list, open the door, follow the journal; OSError where the address can't be had."""
+        """Load the list, listen for owners, follow the journal; OSError if the address can't be bound."""
         for event in self._config.known:
             self.apply_event(event)
         self.follower.start()
@@ -121,10 +120,10 @@
         self._loop.call_at(self._next_second_ns, self._on_second)
         self._report.line("ready", name=self._config.name, listen=self._config.listen, pos=self._config.pos)
 
-    # --- the list -----------------------------------------------------------------------------------------
+    # --- the machine list ---------------------------------------------------------------------------------
 
     def apply_event(self, event: JournalEvent) -> None:
-        """One event of the journal service."""
+        """Apply one event of the journal service."""
         if event.rows is None:
             return
         entries: list[api.MachineEntry] = []
@@ -142,11 +141,11 @@
             self._report.line("list.row", machine=name[:60], why=why[:120])
             link = self.links.get(name)
             if link is not None:
-                # Danger: it may have told that the machine is leaving.  Harm: nothing new goes there until a
-                # row comes that can be used.
+                # The invalid row may have announced that the machine drains, so nothing new is sent there
+                # until a valid row arrives.
                 entries.append(api.MachineEntry(name, api.Stage.DRAINING))
                 addresses.append(link.address)
-        # The module hears it first: what the links then give back goes to machines that it knows to serve.
+        # The module is told first, so that it places the set-ups that the links return on serving machines.
         kind = api.ListKind.FULL if event.full else api.ListKind.CHANGES
         self.tasks.report_machine_list(api.MachineList(kind, event.pos, tuple(entries)))
         if event.full:
@@ -158,27 +157,27 @@
     # --- signals ------------------------------------------------------------------------------------------
 
     def reload(self) -> None:
-        """SIGHUP: read the file again.  Whatever is wrong with it, the old one stays in force."""
+        """SIGHUP: read the file again.  If it is invalid, the old configuration stays in force."""
         self._reload(self._loop.now_ns() + RELOAD_TIMEOUT_NS, logged=False)
 
     def _reload(self, until_ns: int, logged: bool) -> None:
         try:
             fresh = load_config(os.environ)
         except ConfigError as fault:
-            # It may have been read while it was being written; who wrote it need not signal again.
+            # It may have been read while it was being written, without another signal afterwards: retry.
             if not logged:
                 self._report.line("reload.refused", why=str(fault)[:200])
             if self._loop.now_ns() < until_ns:
                 self._loop.call_later(RETRY_INTERVAL_NS, self._reload, until_ns, True)
             return
-        # Only the journal's address can change in service; whatever else differs waits for the next start.
+        # Only the journal's address can change at run time; other changes apply at the next start.
         fixed = ("name", "listen", "sockets", "settings")
         kept = [name for name in fixed if getattr(fresh, name) != getattr(self._config, name)]
         self._report.line("reload", journal=fresh.journal, kept=kept)
         self.follower.set_address(fresh.journal)
 
     def stop(self) -> None:
-        """SIGTERM: serve while set-ups may come, answer what is open, end.  A second call changes nothing."""
+        """SIGTERM: serve while set-ups may arrive, answer all, then end.  A second call does nothing."""
         if not self._stop_deadline_ns:
             longest = max(klass.deadline_ns for klass in self._config.settings.classes)
             most = ACCEPT_AFTER_STOP_NS + min(longest, MAX_STOP_NS) - STOP_MARGIN_NS
@@ -192,11 +191,11 @@
         self._check_stopped()
 
     def _check_stopped(self) -> None:
-        """End once nothing is owed any more, or when there is no more time."""
+        """End the process once nothing is owed any more, or when the time is up."""
         now = self._loop.now_ns()
         if now >= self._stop_deadline_ns:
             self.tasks.answer_all()
-        # An end that lies unread now could not be told once the owners' connections are closed.
+        # An unread task end could not be reported after the owners' connections are closed.
         self.links.read_pending()
         owed = (
             {"answers": self.tasks.open_count}
@@ -205,7 +204,8 @@
         )
         latest_ns = self._stop_deadline_ns + STOP_MARGIN_NS // 2
         if now < latest_ns and (any(owed.values()) or not self._nothing_owed):
-            # One look more after the last answer: closing over what its owner says to it would reset it.
+            # Check once more after the last answer: a close with unread data of its owner would reset the
+            # connection, and the answer could be lost.
             self._nothing_owed = not any(owed.values())
             self._loop.call_later(STOP_CHECK_INTERVAL_NS, self._check_stopped)
             return
@@ -217,7 +217,7 @@
         self._report.line("stopped", **owed)
         self._loop.stop()
 
-    # --- figures ------------------------------------------------------------------------------------------
+    # --- metrics ------------------------------------------------------------------------------------------
 
     def _on_second(self) -> None:
         now = self._loop.now_ns()
@@ -227,7 +227,7 @@
         self._report.write_second()
 
     def _make_pace_gauges(self) -> dict[str, Callable[[], object]]:
-        """Milliseconds of this second that show whether the process keeps up with what it is told."""
+        """The gauges that show whether the process keeps up with its load, most in milliseconds."""
         return {
             "late_ms": lambda: self._late_ms,
             "cpu_ms": self._take_cpu_ms,
@@ -257,12 +257,11 @@
 
 
 def main() -> NoReturn:
-    """Run one scheduler in the foreground.  Status 2: the configuration can't be used; 1: the address."""
+    """Run one scheduler in the foreground.  Exit status 2: invalid configuration; 1: address unavailable."""
     loop = Loop()
     report = Report(loop.now_ns)
     loop.trouble = report.trouble
-    # Handled from the first moment: a signal that comes before there is a service is kept by the loop, which
-    # does not turn before.
+    # Installed first: the loop keeps signals that arrive before the service exists, as it does not run yet.
     service: list[Service] = []
     loop.on_signal(signal.SIGTERM, lambda: service[0].stop())
     loop.on_signal(signal.SIGINT, lambda: service[0].stop())
--- a/ladderhub/platform/setup_parser.py
+++ b/ladderhub/platform/setup_parser.py
@@ -1,6 +1,6 @@
-"""What an owner's set-up asks for, read and checked.
+"""Parses and checks an owner's set-up.
 
-Only what can't be a set-up is turned away here; everything else is the module's to decide.
+Only malformed set-ups are rejected here; all other decisions are the decision module's.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def parse_setup(message: Message, names: NameIndex, settings: api.Settings) -> SetupRequest:
-    """A set-up's fields, checked; SignalError says which one makes no sense."""
+    """Parse and check the fields of a set-up; SignalError names the one that is invalid."""
     fields, id = message.fields, message.id
     klass_name, tenant = str(fields.get("class", "")), str(fields.get("tenant", ""))
     if klass_name not in names.classes:
@@ -35,7 +35,7 @@
     if not message.description:
         raise SignalError("a set-up must have a description", id)
     machine = extras.get("at", "")
-    # A task that stands already has no time to wait; a new one is not waited for beyond its class's deadline.
+    # A task that already runs needs no time for placement; a new one has at most its class's deadline.
     max_left_ms = settings.classes[klass].deadline_ns / MS
     left = 0.0 if machine else _parse_number(fields.get("left"), "left", max_left_ms, id)
     return SetupRequest(
@@ -48,7 +48,7 @@
 
 
 def is_handover(message: Message) -> bool:
-    """Whether it names a task that a machine holds already."""
+    """Whether it hands over a task that already runs on a machine."""
     return message.kind is Kind.SETUP and "at" in _parse_extras(str(message.fields.get("extras", "")))
 
 
--- a/ladderhub/platform/setup_queue.py
+++ b/ladderhub/platform/setup_queue.py
@@ -1,7 +1,8 @@
-"""Set-ups that were read and wait to be placed: whose turn comes next.
+"""The queue of set-ups that were read and wait to be placed.
 
-A placement takes far longer than reading its set-up.  So what is read is kept here and placed in slices,
-between which the loop reads on: ends, answers and cancellations do not wait behind a crowd."""
+Placing a set-up takes far longer than reading it.  So set-ups are queued here and placed in time slices, and
+the event loop reads between the slices: task ends, answers and cancellations do not wait for a burst of
+set-ups to be placed."""
 
 from __future__ import annotations
 
@@ -11,48 +12,49 @@
 
 
 class QueuedSetup(Protocol):
-    """A set-up, as the queue sees it."""
+    """The interface of a set-up that the queue uses."""
 
-    until_ns: int  # when its answer is due at the latest
+    until_ns: int  # the deadline for its answer
 
     def is_waiting(self) -> bool:
-        """Whether it is still to be placed."""
+        """Whether it still has to be placed."""
 
 
 AnySetup = TypeVar("AnySetup", bound=QueuedSetup)
 
 
 class SetupQueue(Generic[AnySetup]):
-    """Callers have turns, so that a crowd from one does not hold up the others; in a caller's turn its oldest
-    set-up is placed.  One whose time is nearly over goes before all: it still needs its answer.
+    """Serves callers round-robin, so that many set-ups of one caller do not delay the others; each caller's
+    set-ups are taken oldest first.  A set-up close to its deadline comes before all others, as it still needs
+    an answer.
 
-    `margin_ns`: so long before the end of its time a set-up can't be placed any more.  `most`: set-ups that
-    may wait."""
+    `margin_ns`: a set-up can't be placed any more this long before its deadline.  `max_size`: how many
+    set-ups may wait."""
 
     def __init__(self, margin_ns: int, max_size: int) -> None:
         self._margin_ns, self._max_size = margin_ns, max_size
         self._by_caller: OrderedDict[object, deque[AnySetup]] = OrderedDict()
         self._by_deadline: list[tuple[int, int, AnySetup]] = []
-        self._added_count = 0  # of all that ever came: tells those with one end apart
-        self._size = 0  # with those that have gone meanwhile
+        self._added_count = 0  # of all time; orders set-ups with the same deadline
+        self._size = 0  # includes set-ups that no longer wait
 
     def __len__(self) -> int:
-        """Set-ups that wait, and some that no longer do."""
+        """The number of set-ups that wait, and of some that no longer do."""
         return self._size
 
     def is_full(self) -> bool:
-        """Whether no more may be added: what comes now has to be refused."""
+        """Whether no more may be added, so that new set-ups must be refused."""
         return self._size >= self._max_size
 
     def add(self, caller: object, setup: AnySetup) -> None:
-        """Queue a set-up of this caller."""
+        """Add a set-up of this caller."""
         self._by_caller.setdefault(caller, deque()).append(setup)
         self._added_count += 1
         self._size += 1
         heapq.heappush(self._by_deadline, (setup.until_ns, self._added_count, setup))
 
     def take(self, now_ns: int) -> AnySetup | None:
-        """The set-up whose turn it is; it must no longer wait when this is called again."""
+        """The next set-up to place; it must no longer be waiting when this is called again."""
         while self._by_deadline and not self._by_deadline[0][2].is_waiting():
             heapq.heappop(self._by_deadline)
         if self._by_deadline and self._by_deadline[0][0] - self._margin_ns <= now_ns:
--- a/ladderhub/platform/task.py
+++ b/ladderhub/platform/task.py
@@ -1,4 +1,4 @@
-"""One set-up of an owner, as it was asked for and as it stands."""
+"""An owner's set-up as it was requested, and its current state."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 
 class TaskOwner(Protocol):
-    """An owner's connection, as tasks see it."""
+    """The interface of an owner's connection that tasks use."""
 
     alive: bool
 
     def send(self, message: Message) -> None: ...
 
     def read_pending(self) -> None:
-        """Take what has come from the owner and was not read yet: it may have gone, or want no answer."""
+        """Read and handle what has arrived from the owner: it may have closed, or cancelled its set-up."""
 
 
 @dataclass(frozen=True, slots=True)
 class SetupRequest:
-    """A set-up that was read whole and makes sense.  `machine` is where the task stands already, or ''."""
+    """A complete and valid set-up.  `machine` is the machine on which the task already runs, or ''."""
 
     id: str
     klass: int
@@ -48,13 +48,13 @@
 
     def __init__(self, number: int, request: SetupRequest, owner: TaskOwner, until_ns: int) -> None:
         self.number, self.request, self.owner, self.until_ns = number, request, owner, until_ns
-        self.leg = Leg()  # towards the owner
+        self.leg = Leg()  # the exchange with the owner
         self.offer: Offer | None = None
         self.attempt_count = 0
         self.deadline_timer: Timer | None = None
-        self.withdrawing = False  # the module has not heard yet that no answer is owed
-        self.queued = False  # the module has not heard of it yet
+        self.withdrawing = False  # the decision module was not told yet that no answer is needed
+        self.queued = False  # the decision module was not told of it yet
 
     def is_waiting(self) -> bool:
-        """Whether it is still to be placed."""
+        """Whether it still has to be placed."""
         return self.queued and self.leg.state is State.SET_UP
--- a/ladderhub/platform/tasks.py
+++ b/ladderhub/platform/tasks.py
@@ -1,7 +1,7 @@
-"""Tasks between owners, the decision module and machines: carries out what the module says, and tells it what
-came of that.  Nothing is chosen here.
+"""Tasks between owners, the decision module and machines: carries out the module's actions and reports their
+results to it.  Nothing is decided here.
 
-An open task has been asked for and has no answer; a standing one has been answered and runs.
+An open task was requested and has no answer yet; a running task was answered.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class _TimedModule:
-    """The module, with the time spent in it."""
+    """The decision module, with the time spent in it measured."""
 
     def __init__(self, module: Scheduler) -> None:
         self._module, self._spent_ns = module, 0
@@ -39,26 +39,26 @@
             self._spent_ns += time.perf_counter_ns() - begun
 
     def take_ms(self) -> float:
-        """Milliseconds since the last call."""
+        """Return the milliseconds spent in the module since the last call."""
         spent, self._spent_ns = self._spent_ns, 0
         return round(spent / MS, 1)
 
 
 class Tasks:
-    """Carrier of the decision module, and the one who hears of offers."""
+    """Runs the decision module: executes its actions and receives the events of offers."""
 
     def __init__(self, loop: Loop, module: Scheduler, report: Report) -> None:
         self._loop, self._report, self.module = loop, report, module
         self._timed_module = _TimedModule(module)
         self._dispatch = EventDispatcher(loop.now_ns, self._on_fault).register(self._timed_module, self)
         self._by_number: dict[int, Task] = {}
-        self._by_id: dict[str, Task] = {}  # open and standing
+        self._by_id: dict[str, Task] = {}  # open and running
         self.placing = Placer(loop, ANSWER_MARGIN_NS, self._place_now)
-        self._sending: Offer | None = None  # the one whose `Send` is being carried out
+        self._sending: Offer | None = None  # the one whose `Send` is being executed
         self._count = 0
         self.open_count = 0
         self._links: Links
-        self.read_journal: Callable[[], None] = lambda: None  # read what is told of machines
+        self.read_journal: Callable[[], None] = lambda: None  # reads pending events of the machine list
         self.notify_owner: Callable[[TaskOwner, Message], None] = lambda owner, message: owner.send(message)
         report.gauges["module_ms"] = self._timed_module.take_ms
         report.gauges["queued"] = self.placing.count_waiting
@@ -73,14 +73,14 @@
         self._report.trouble(f"decision on {type(event).__name__}", fault)
         self._on_event_done(event)
 
-    # --- what owners say ----------------------------------------------------------------------------------
+    # --- owners' messages ---------------------------------------------------------------------------------
 
     def find(self, id: str) -> Task | None:
         return self._by_id.get(id)
 
     def accept(self, owner: TaskOwner, request: SetupRequest, until_ns: int) -> Task:
-        """Take a set-up; its answer is owed from here on, until `until_ns`.  `place` is due once its line
-        knows of it."""
+        """Accept a set-up, which must be answered by `until_ns`.  The caller calls `place` once the owner's
+        connection has recorded the task."""
         task = self._create_task(owner, request, until_ns)
         task.leg.step(Step.SETUP)
         self.open_count += 1
@@ -88,7 +88,7 @@
         return task
 
     def place(self, task: Task) -> None:
-        """Have it placed in its turn, or refused where too many wait."""
+        """Queue it to be placed, or refuse it if too many wait."""
         task.queued = self.placing.add(task)
         if not task.queued:
             self._report.count("refused.crowd")
@@ -99,8 +99,8 @@
         self._dispatch(DeferredEvent(lambda now: self._make_request_event(task, now)))
 
     def adopt(self, owner: TaskOwner, request: SetupRequest) -> Task:
-        """A task that stands already and is now this scheduler's to look after."""
-        task = self._create_task(owner, request, self._loop.now_ns())  # nobody waits for it
+        """Take over a task that already runs on a machine."""
+        task = self._create_task(owner, request, self._loop.now_ns())  # no answer is waited for
         task.leg.step(Step.HANDED)
         task.offer = offer = self._make_offer(task, request.machine, task.until_ns)
         self._dispatch(
@@ -125,7 +125,7 @@
         )  # fmt: skip
 
     def give_up(self, task: Task) -> None:
-        """The owner no longer waits for an answer."""
+        """Cancel an open task, because its owner no longer waits for the answer."""
         if task.leg.state is not State.SET_UP:
             return
         self._report.count("owner.gave_up")
@@ -134,14 +134,14 @@
         self._withdraw(task)
 
     def _withdraw(self, task: Task) -> None:
-        """No answer is owed any more."""
+        """Tell the module that no answer is needed any more, and cancel the attempt."""
         task.withdrawing = True
         self._dispatch(api.TaskWithdrawn(task.number))
         if task.offer is not None:
             self._cancel(task.offer)
 
     def end_running(self, task: Task, cause: int) -> None:
-        """Its owner ends a task that runs.  The machine is told; its word on the end still comes."""
+        """Release a running task at its machine because its owner ends it; the machine confirms that."""
         if task.leg.state is not State.STANDS or task.offer is None:
             return
         self._report.count("owner.ended")
@@ -149,7 +149,7 @@
         self._links.release(task.offer, cause)
 
     def _apply_owner_step(self, task: Task, step: Step) -> None:
-        """The owner's leg takes a step that ends it, or its answer."""
+        """Apply the answer, or a step that ends the exchange, to the owner's side of the task."""
         if task.leg.state is State.SET_UP:
             self.open_count -= 1
             if task.deadline_timer is not None:
@@ -161,23 +161,23 @@
             self._drop_if_done(task)
 
     def _drop_if_done(self, task: Task) -> None:
-        # Danger: until the module has heard of the end, an action decided before may still name the task.
+        # Until the module was told of the end, one of its earlier actions may still name the task.
         if task.leg.state is State.OVER and task.offer is None and not task.withdrawing:
             self._by_number.pop(task.number, None)
 
     def answer_all(self) -> None:
-        """The process is about to end: each set-up that waits gets its answer, by the module's word."""
+        """Have the module answer all open set-ups, as the process is about to end."""
         for task in [each for each in self._by_id.values() if each.leg.state is State.SET_UP]:
             if task.queued:
-                task.until_ns = self._loop.now_ns()  # no attempt may begin for it
+                task.until_ns = self._loop.now_ns()  # so that no attempt is started for it
                 self._place_now(task)
             if task.leg.state is State.SET_UP:
                 self._dispatch(api.AnswerDue(task.number))
                 self._on_deadline(task)
 
     def _on_deadline(self, task: Task) -> None:
-        """The time is over: a set-up that never had its turn is refused by the module; else the module let
-        the deadline pass, which only a fault of its own can bring about."""
+        """The deadline has passed.  A set-up that is still queued is refused by the module.  Otherwise the
+        module missed the deadline, which only a defect in it can cause, and the set-up is failed here."""
         if task.is_waiting():
             self._place_now(task)
         if task.leg.state is State.SET_UP:
@@ -186,8 +186,8 @@
             self._withdraw(task)
 
     def _report_unanswered(self, task: Task) -> None:
-        """Log what tells why the module did not answer by itself: `over_ms` since the task's time was over,
-        `due_ms` until the module holds it to be, the state of its attempt."""
+        """Log why the module may have missed the deadline: `over_ms` since the deadline, `due_ms` until the
+        deadline that the module has, and the state of the attempt."""
         now, known, offer = self._loop.now_ns(), self.module.tasks.get(task.number), task.offer
         self._report.line(
             "unanswered", task=task.request.id, over_ms=(now - task.until_ns) // MS,
@@ -200,7 +200,7 @@
         self._apply_owner_step(task, Step.ANSWER if message.kind is Kind.ANSWER else Step.RELEASE)
         owner.send(message)
 
-    # --- what the module decides --------------------------------------------------------------------------
+    # --- the module's actions -----------------------------------------------------------------------------
 
     def execute(self, now: int, action: api.Action) -> None:
         match action:
@@ -228,7 +228,7 @@
         self._on_event_done(event)
 
     def _on_event_done(self, event: object) -> None:
-        """The module has heard this event, or failed over it."""
+        """The module has handled this event, or raised an exception."""
         if isinstance(event, api.TaskWithdrawn) and event.task in self._by_number:
             task = self._by_number[event.task]
             task.withdrawing = False
@@ -264,7 +264,7 @@
         self._report.count("attempts")
         if task.leg.state is State.SET_UP:
             self._links.send(offer)
-        else:  # given up while this was being decided
+        else:  # cancelled while the module decided
             self._end_attempt(offer, api.Outcome.NEVER_SENT)
         self._sending = None
 
@@ -275,16 +275,16 @@
         task.owner.read_pending()
         self.read_journal()
         if self._find_task(offer) is task and offer is not self._sending:
-            # Decided a while ago: whatever forbids an attempt may have come about since.
+            # The module decided this earlier and may have to cancel it now: ask it again.
             self._dispatch(api.AttemptLeaving(offer.number, offer.attempt))
         return self._find_task(offer) is task
 
     def _cancel(self, offer: Offer) -> None:
-        """Give an attempt up at its machine."""
+        """Cancel an attempt at its machine."""
         self._links.give_up(offer)
         self._end_attempt(offer, api.Outcome.CANCELLED if offer.written else api.Outcome.NEVER_SENT)
 
-    # --- what machines say --------------------------------------------------------------------------------
+    # --- machines' messages -------------------------------------------------------------------------------
 
     def _find_task(self, offer: Offer) -> Task | None:
         task = self._by_number.get(offer.number)
@@ -293,11 +293,11 @@
     def on_answer(self, offer: Offer, description: str) -> None:
         task = self._find_task(offer)
         if task is not None:
-            task.owner.read_pending()  # nobody may be there for it any more
+            task.owner.read_pending()  # the owner may have closed or cancelled
             if self._find_task(offer) is not task:
                 return
         if task is None or task.leg.state is not State.SET_UP:
-            # The owner has had another word meanwhile: what stands now must not.
+            # The owner was answered otherwise or cancelled in the meantime, so the task must not run.
             self._links.release(offer, Cause.NORMAL)
             return
         waited = self._loop.now_ns() - offer.sent_ns
@@ -308,7 +308,7 @@
     def on_release(self, offer: Offer, cause: int | None, note: str | None) -> None:
         outcome = to_outcome(cause, offer.started)
         if offer.started:
-            self._end_running_task(offer, cause if cause is not None else Cause.BROKEN, outcome)
+            self._on_task_end(offer, cause if cause is not None else Cause.BROKEN, outcome)
         self._end_attempt(offer, outcome, to_reason(note), f"cause {cause} {note or ''}")
 
     def on_note(self, offer: Offer, note: str | None, figure: float) -> None:
@@ -323,14 +323,14 @@
         self._end_attempt(offer, api.Outcome.NEVER_SENT)
 
     def on_broken(self, offer: Offer, why: str) -> None:
-        self._end_running_task(offer, Cause.BROKEN, api.Outcome.LOST)
+        self._on_task_end(offer, Cause.BROKEN, api.Outcome.LOST)
         self._end_attempt(offer, api.Outcome.LOST, why=why)
 
     def on_overdue(self, offer: Offer) -> None:
         self._end_attempt(offer, api.Outcome.TIMED_OUT)
 
-    def _end_running_task(self, offer: Offer, cause: int, outcome: api.Outcome) -> None:
-        """What stood is over: its owner is told, unless the owner ended it."""
+    def _on_task_end(self, offer: Offer, cause: int, outcome: api.Outcome) -> None:
+        """A running task has ended: notify its owner, unless the owner ended it."""
         task = self._find_task(offer)
         if task is None or task.leg.state is not State.STANDS:
             return
@@ -342,7 +342,7 @@
     def _end_attempt(
         self, offer: Offer, outcome: api.Outcome, reason: api.Reason = api.Reason.UNKNOWN, why: str = ""
     ) -> None:
-        """The one end of an attempt, told to the module."""
+        """Report the end of an attempt to the module, exactly once."""
         task = self._find_task(offer)
         if task is None:
             return
