--- a/ladderhub/platform/ownerconn.py
+++ b/ladderhub/platform/ownerconn.py
@@ -110,10 +110,10 @@
         """Reject an invalid message: fail the set-up that it names, and close the connection."""
         self.server.report.line("owner.turned_away", peer=self.peer, why=str(fault)[:120])
         if fault.id:
-            twin = self.open_tasks.pop(fault.id, None)
+            open_task = self.open_tasks.pop(fault.id, None)
             self._write(Message(Kind.RELEASE, fault.id, Cause.INVALID))
-            if twin is not None:
-                self.server.tasks.give_up(twin)
+            if open_task is not None:
+                self.server.tasks.give_up(open_task)
         self.close("turned away", CLOSE_RACE_NS)
 
     def _handle_while_closing(self, each: Message | SignalError) -> None:
--- a/ladderhub/platform/owners.py
+++ b/ladderhub/platform/owners.py
@@ -34,7 +34,7 @@
 RESEND_AFTER_NS = 200 * MS
 
 
-class _UnconfirmedNotice:
+class _OwnerNotice:
     """The release or move of a task, with the connections on which it was sent to the owner."""
 
     def __init__(self, message: Message, peer: str, until_ns: int) -> None:
@@ -72,7 +72,7 @@
         self.stopping = False  # pings are answered as failed, so that owners stay away
         self.refuses_setups = False  # new set-ups are refused without asking the module
         tasks.notify_owner = self.notify_owner
-        self._unconfirmed: dict[str, _UnconfirmedNotice] = {}
+        self._unconfirmed: dict[str, _OwnerNotice] = {}
         self._early_ends: EarlyEnds[str, int] = EarlyEnds()  # causes by task
         report.gauges["owners"] = self.count_connections
 
@@ -221,21 +221,21 @@
         """Send an owner the release or move of its running task, on the connection of the set-up or else on
         another one.  A release is repeated until it is confirmed."""
         assert isinstance(owner, OwnerConn)
-        notice = _UnconfirmedNotice(message, owner.peer, self.loop.now_ns() + RELEASE_DEADLINE_NS)
+        notice = _OwnerNotice(message, owner.peer, self.loop.now_ns() + RELEASE_DEADLINE_NS)
         if message.kind is Kind.RELEASE:
             self._unconfirmed[message.id] = notice
         self._send_notice(notice, owner)
 
-    def _send_notice(self, notice: _UnconfirmedNotice, owner: OwnerConn | None = None) -> None:
-        if owner is None or not owner.alive:
+    def _send_notice(self, notice: _OwnerNotice, target: OwnerConn | None = None) -> None:
+        if target is None or not target.alive:
             useful = [conn for conn in self._conns if conn.trust is not Trust.NONE]
             others = [conn for conn in useful if conn not in notice.tried_conns] or useful
-            owner = max(others, key=notice.rank) if others else None
-            self.report.count("over.elsewhere" if owner is not None else "over.kept")
+            target = max(others, key=notice.rank) if others else None
+            self.report.count("over.elsewhere" if target is not None else "over.kept")
         notice.sent_ns = self.loop.now_ns()
-        if owner is not None:
-            notice.tried_conns.append(owner)
-            owner.send(notice.message)
+        if target is not None:
+            notice.tried_conns.append(target)
+            target.send(notice.message)
 
     def resend_lost(self, lost: OwnerConn) -> None:
         """Send unconfirmed releases again whose last connection was this closed one."""
@@ -273,7 +273,7 @@
                 known.owner = conn  # already known: its owner can be reached here from now on
             elif message.id in conn.open_tasks:
                 # Two open set-ups with the same id: their answers could not be told apart.
-                conn.reject(SignalError("the id is that of an open set-up", message.id))
+                conn.reject(SignalError("the id belongs to an open set-up", message.id))
             else:
                 conn.send(Message(Kind.RELEASE, message.id, Cause.PROTOCOL))
         elif request.machine:
--- a/ladderhub/platform/service.py
+++ b/ladderhub/platform/service.py
@@ -128,16 +128,16 @@
             return
         entries: list[api.MachineEntry] = []
         addresses: list[Address] = []
-        spoilt = list(event.spoilt)
+        invalid_rows = list(event.spoilt)
         for row in event.rows:
             try:
                 entry, address = self._config.names.to_machine_entry(row), read_address(row.address, row.name)
             except (FieldError, ConfigError) as fault:
-                spoilt.append((row.name, str(fault)))
+                invalid_rows.append((row.name, str(fault)))
                 continue
             entries.append(entry)
             addresses.append(address)
-        for name, why in spoilt:
+        for name, why in invalid_rows:
             self._report.line("list.row", machine=name[:60], why=why[:120])
             link = self.links.get(name)
             if link is not None:
@@ -179,9 +179,9 @@
     def stop(self) -> None:
         """SIGTERM: serve while set-ups may arrive, answer all, then end.  A second call does nothing."""
         if not self._stop_deadline_ns:
-            longest = max(klass.deadline_ns for klass in self._config.settings.classes)
-            most = ACCEPT_AFTER_STOP_NS + min(longest, MAX_STOP_NS) - STOP_MARGIN_NS
-            self._stop_deadline_ns = self._loop.now_ns() + most
+            longest_deadline_ns = max(klass.deadline_ns for klass in self._config.settings.classes)
+            until_end_ns = ACCEPT_AFTER_STOP_NS + min(longest_deadline_ns, MAX_STOP_NS) - STOP_MARGIN_NS
+            self._stop_deadline_ns = self._loop.now_ns() + until_end_ns
             self.owners.stop()
             self._report.line("stopping", open=self.tasks.open_count)
             self._loop.call_later(ACCEPT_AFTER_STOP_NS, self._stop_accepting)
--- a/ladderhub/platform/setup_parser.py
+++ b/ladderhub/platform/setup_parser.py
@@ -20,18 +20,18 @@
     fields, id = message.fields, message.id
     klass_name, tenant = str(fields.get("class", "")), str(fields.get("tenant", ""))
     if klass_name not in names.classes:
-        raise SignalError(f"class: {klass_name[:40]!r} is none", id)
+        raise SignalError(f"class: {klass_name[:40]!r} is unknown", id)
     if names.tenants and tenant not in names.tenants:
-        raise SignalError(f"tenant: {tenant[:40]!r} is none", id)
+        raise SignalError(f"tenant: {tenant[:40]!r} is unknown", id)
     extras = _parse_extras(str(fields.get("extras", "")))
     klass = names.classes[klass_name]
     max_cores = max((kind.cores for kind in settings.kinds), default=math.inf) * settings.admit_cores
     max_memory = max((kind.memory for kind in settings.kinds), default=math.inf) * settings.admit_memory
     key, service = str(fields.get("key", "")), extras.get("service", "")
     if not key or len(key.encode()) > 255:
-        raise SignalError("key: the name of the task is meant", id)
+        raise SignalError("key: the name of the task is missing or too long", id)
     if not service:
-        raise SignalError("extras: service: the service of the task is meant", id)
+        raise SignalError("extras: service: the service of the task is missing", id)
     if not message.description:
         raise SignalError("a set-up must have a description", id)
     machine = extras.get("at", "")
--- a/ladderhub/platform/tasks.py
+++ b/ladderhub/platform/tasks.py
@@ -32,11 +32,11 @@
         self._module, self._spent_ns = module, 0
 
     def handle(self, now_ns: int, event: api.Event) -> Sequence[api.Action]:
-        begun = time.perf_counter_ns()
+        started_ns = time.perf_counter_ns()
         try:
             return self._module.handle(now_ns, event)
         finally:
-            self._spent_ns += time.perf_counter_ns() - begun
+            self._spent_ns += time.perf_counter_ns() - started_ns
 
     def take_ms(self) -> float:
         """Return the milliseconds spent in the module since the last call."""
--- a/tests/platform/process_bed.py
+++ b/tests/platform/process_bed.py
@@ -1,4 +1,4 @@
-"""A scheduler as a process of its own, among machines and owners played on loopback by the test."""
+"""A scheduler in a process of its own, with machines and owners simulated by the test on loopback."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from tests.platform.bed import MS, Machine, Owner, Script, event, settings
 
 ROOT = Path(__file__).parents[2]
-MAX_ROUNDS = 60_000  # of the test's loop, each up to 2 ms long: far beyond what any play needs
+MAX_ROUNDS = 60_000  # of the test's loop, each up to 2 ms long: far more than any run needs
 
 
 class ProcessBed:
@@ -26,9 +26,9 @@
         self, folder: Path, *scripts: Script, sockets: int = 1024,
         journal: Callable[[ProcessBed], str] | None = None,
     ) -> None:  # fmt: skip
-        """`journal` starts a journal service and gives its address; without it there is none to reach."""
+        """`journal` starts a journal service and returns its address; without it none is reachable."""
         self.loop = Loop()
-        self.machine_messages: list[tuple[Machine, Message]] = []  # by all machines, in order
+        self.machine_messages: list[tuple[Machine, Message]] = []  # received by all machines, in order
         self.machines = [Machine(self, f"m{at}", script) for at, script in enumerate(scripts)]
         self.owner_address = ("127.0.0.1", free_port())
         self.config_path = folder / "config.json"
@@ -48,7 +48,7 @@
         self.run(self.is_ready)
 
     def start(self) -> None:
-        """Start a process; beside one that serves, it waits for the address."""
+        """Start a process; if another one is serving, it waits for the address."""
         environment = os.environ | {
             "PROXY_NAME": "n0", "PROXY_LISTEN": ":".join(map(str, self.owner_address)),
             "PROXY_CONFIG": str(self.config_path),
@@ -63,18 +63,18 @@
         return next((each for each in self.children if each.poll() is None), self.children[-1])
 
     def is_ready(self) -> bool:
-        """Whether the process that was started last serves."""
+        """Whether the process that was started last is serving."""
         self._logs[-1].seek(0)
         return '"ready"' in self._logs[-1].read()
 
     def read_log(self) -> str:
-        """What the processes have written so far, one behind the other."""
+        """The log output of all processes so far, in the order in which they were started."""
         for log in self._logs:
             log.seek(0)
         return "".join(log.read() for log in self._logs)
 
     def run(self, until: Any) -> None:
-        """Turn the test's own loop until something is so."""
+        """Run the test's own loop until the condition holds."""
         for _ in range(MAX_ROUNDS):
             if until():
                 return
@@ -82,7 +82,7 @@
         raise AssertionError(f"did not come about; log: {self.read_log()[-2000:]}")
 
     def setup(self, left_ms: int = 8000) -> Message:
-        """A set-up under a new id."""
+        """A set-up with a new id."""
         self._count += 1
         id = f"{self._count:016x}"
         fields: dict[str, Any] = {
--- a/tests/platform/soak.py
+++ b/tests/platform/soak.py
@@ -1,7 +1,7 @@
-"""A drawn play of faults around one real scheduler process, judged by what its owners and machines saw.
+"""Random faults around one real scheduler process, checked by the messages of its owners and machines.
 
-`python -m tests.platform.soak FIRST LAST` plays these seeds and tells what it found.  What happens, and in
-which order, follows from the seed; when it meets the process does not: a seed is a family of plays."""
+`python -m tests.platform.soak FIRST LAST` runs these seeds and prints the faults found.  A seed determines
+the operations and their order, but not their timing in the process, so runs of one seed may differ."""
 
 from __future__ import annotations
 
@@ -21,28 +21,28 @@
 from tests.platform.process_bed import ProcessBed
 
 MACHINES, OWNERS = 12, 5
-STEPS = 260  # drawn operations; some ten milliseconds apart
+STEPS = 260  # random operations, about ten milliseconds apart
 MAX_BURST, CROWD = 12, 250
-RELEASE_TIMEOUT_NS = S  # by then a machine must have been told of a task that its owner ended
-CLOSE_RACE_NS = 50 * MS  # a set-up may cross the close of its connection for so long, by the protocol
+RELEASE_TIMEOUT_NS = S  # a machine must be told within this time that an owner ended its task
+CLOSE_RACE_NS = 50 * MS  # by the protocol a set-up and a close may cross for this long
 FULL, ERROR, CUT, DONE = 34, 47, 41, 16
 
 
 @dataclass
 class Record:
-    """What became of one set-up."""
+    """The history of one set-up."""
 
     id: str
     unsafe: bool
     left_ms: int = 0
-    withdrawn: bool = False  # its owner cancelled it, closed or sent it again: no answer is owed
+    withdrawn: bool = False  # its owner cancelled it, closed or sent it again: needs no answer
     cancelled_ns: int = 0
-    accepted: list[str] = field(default_factory=list)  # machines that said yes
-    ended: bool = False  # its machine told its end
+    accepted: list[str] = field(default_factory=list)  # machines that accepted it
+    ended: bool = False  # its machine reported its end
 
 
 class SoakOwner(Owner):
-    """An owner that knows when it wrote its set-ups, and when its connection ended."""
+    """An owner that records when it sent its set-ups and when its connection closed."""
 
     def __init__(self, bed: ProcessBed) -> None:
         self.bed = bed
@@ -61,7 +61,7 @@
         self.sent_ns.update((setup.id, now) for setup in setups)
 
     def find_crossed(self, withdrawn: Callable[[str], bool]) -> list[str]:
-        """Set-ups that crossed the close of a connection with none open on it: these are sent again, once."""
+        """Set-ups that crossed the close of their connection, if no older one was open on it."""
         told = {message.id for message in self.messages}
         unanswered = [id for id in self.sent_ns if id not in told and not withdrawn(id)]
         open_ = {id: self.sent_ns[id] for id in unanswered}
@@ -71,7 +71,7 @@
 
 
 class SoakRun:
-    """One play: draw, carry out, end the process, judge."""
+    """One run: random operations, the end of the process, and the check of what happened."""
 
     def __init__(self, folder: Path, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -110,7 +110,7 @@
         machine, conn = self.running.pop(id)
         if conn not in machine.conns:
             if not machine.conns:
-                self.running[id] = (machine, conn)  # it will be told on the next connection
+                self.running[id] = (machine, conn)  # it will be reported on the next connection
                 return
             conn = machine.conns[-1]
         self._send_end(machine, conn, id)
@@ -120,7 +120,7 @@
         self.records[id].ended = True
 
     def _restart_machine(self, machine: Machine) -> None:
-        """The process of a machine dies and is back a little later, with none of its tasks."""
+        """The process of a machine dies and restarts a little later, without its tasks."""
         address = machine.address
         machine.die()
         for id, (where, _) in list(self.running.items()):
@@ -161,7 +161,7 @@
         self._reconnect(owner)
 
     def _reconnect(self, owner: SoakOwner) -> SoakOwner:
-        """A new connection in place of one that has ended: one that says nothing for a while is closed."""
+        """Replace a closed connection: the scheduler closes those that are silent for a while."""
         new_owner = SoakOwner(self.bed)
         if owner in self.owners:
             self.past_owners.append(owner)
@@ -173,7 +173,7 @@
         return new_owner
 
     def _resend_crossed(self) -> None:
-        """Set-ups that crossed the close of their connection go over new ones, under new ids."""
+        """Repeat set-ups that crossed a close once, on new connections and with new ids."""
         ended = [owner for owner in [*self.owners, *self.past_owners] if owner.closed and owner.sent_ns]
         for owner in ended:
             crossed = [self.records[id] for id in owner.find_crossed(lambda id: self.records[id].withdrawn)]
@@ -185,12 +185,12 @@
             try:
                 new_owner = self._reconnect(owner)
             except ConnectionRefusedError:
-                continue  # nobody is there to take them
+                continue  # no scheduler is listening
             setups = [self._make_setup(record.unsafe, record.left_ms) for record in crossed]
             self.open_setups[new_owner] += [setup.id for setup in setups]
             new_owner.send_setups(setups)
 
-    # --- the play -----------------------------------------------------------------------------------------
+    # --- the run ------------------------------------------------------------------------------------------
 
     def _turn(self, rounds: int) -> None:
         for _ in range(rounds):
@@ -229,7 +229,7 @@
         self._turn(self.rng.randrange(1, 12))
 
     def run(self) -> None:
-        """Play all steps, then end the process."""
+        """Run all steps, then terminate the process."""
         for _ in range(STEPS):
             self._step()
         for name in self.modes:
@@ -238,7 +238,7 @@
         self.terminate()
 
     def terminate(self) -> None:
-        """SIGTERM, with set-ups that go on for a while, until the process has ended."""
+        """Send SIGTERM, and set-ups for a while longer, until the process has ended."""
         self.terminated_ns = self.bed.loop.now_ns()
         self.note("SIGTERM")
         self.bed.child.send_signal(signal.SIGTERM)
@@ -249,7 +249,7 @@
         self._turn(50)
 
     def save(self, folder: Path, found: list[str]) -> None:
-        """Write the log of the process, and what owners and machines heard, in the order of each."""
+        """Write the log of the process, and the messages of each owner and of the machines, to files."""
         folder.mkdir(parents=True)
         (folder / "faults").write_text("\n".join(found) + "\n")
         (folder / "log").write_text(self.bed.read_log())
@@ -267,11 +267,11 @@
         (folder / "trace").write_text("\n".join(self.trace) + "\n")
 
     def note(self, text: str) -> None:
-        """Keep what was done, with the time in milliseconds as the log has it."""
+        """Record an operation with the time in milliseconds, as in the log."""
         self.trace.append(f"{self.bed.loop.now_ns() // MS} {text}")
 
     def _format_sent_rows(self) -> list[str]:
-        """When each set-up was written and its connection ended, in milliseconds after SIGTERM."""
+        """When each set-up was sent and its connection closed, in milliseconds after SIGTERM."""
         rows = []
         for at, owner in enumerate([*self.owners, *self.past_owners]):
             closed_ms = (owner.closed_ns - self.terminated_ns) / MS if owner.closed else None
@@ -280,16 +280,16 @@
         return rows
 
     def _is_left_running(self, record: Record) -> bool:
-        """Whether its machine was not told in time that its owner ended it."""
+        """Whether the task still runs although its owner ended it long ago."""
         in_time = 0 < record.cancelled_ns < self.terminated_ns - RELEASE_TIMEOUT_NS
         return in_time and len(record.accepted) == 1 and record.id in self.running
 
     def get_statuses(self) -> list[int | None]:
-        """With which the process ended."""
+        """The exit statuses of the processes."""
         return [self.bed.child.returncode]
 
     def find_faults(self) -> list[str]:
-        """What the rules forbid and was seen."""
+        """All violations of the rules that were observed."""
         found = [f"ended with status {status}" for status in self.get_statuses() if status != 0]
         answered: Counter[str] = Counter()
         released: Counter[str] = Counter()
@@ -315,27 +315,29 @@
 
 
 def run_seed(seed: int) -> tuple[list[str], int]:
-    """The faults that were found with this seed, and how many set-ups were asked for."""
+    """Run one seed; return the faults found and the number of set-ups sent."""
     with tempfile.TemporaryDirectory() as folder:
-        each = SoakRun(Path(folder), seed)
-        return run_and_judge(each, seed)
+        soak_run = SoakRun(Path(folder), seed)
+        return run_and_judge(soak_run, seed)
 
 
-def run_and_judge(each: SoakRun, seed: int) -> tuple[list[str], int]:
-    """Play it to the end: the faults that were found, and how many set-ups were asked for.  With faults, and
-    SOAK_KEEP set to a folder, the log and what both ends saw are kept there."""
+def run_and_judge(soak_run: SoakRun, seed: int) -> tuple[list[str], int]:
+    """Run it to the end; return the faults found and the number of set-ups sent.  If there are faults and
+    SOAK_KEEP is set to a folder, the log and the messages of both sides are saved there."""
     try:
-        each.run()
-        found = each.find_faults()
+        soak_run.run()
+        found = soak_run.find_faults()
         if found and "SOAK_KEEP" in os.environ:
-            each.save(Path(os.environ["SOAK_KEEP"]) / f"{type(each).__name__}-{seed}-{os.getpid()}", found)
-        return found, len(each.records)
+            soak_run.save(
+                Path(os.environ["SOAK_KEEP"]) / f"{type(soak_run).__name__}-{seed}-{os.getpid()}", found
+            )
+        return found, len(soak_run.records)
     finally:
-        each.bed.close()
+        soak_run.bed.close()
 
 
 def main(run_seed: Callable[[int], tuple[list[str], int]]) -> None:
-    """Play the seeds that the command names, the first and the last."""
+    """Run the seeds from the first to the last one given on the command line."""
     for seed in range(int(sys.argv[1]), int(sys.argv[2]) + 1):
         found, count = run_seed(seed)
         print(f"seed {seed}: {count} set-ups, {len(found)} faults {found[:4]}", flush=True)
--- a/tests/platform/soak_journal.py
+++ b/tests/platform/soak_journal.py
@@ -1,4 +1,4 @@
-"""A journal service for soaks: it keeps its events, serves `tail N`, and can break off or fall silent."""
+"""A journal service for soaks: it stores its events, serves `tail N`, and can disconnect or fall silent."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from ladderhub.loop import Listener, Loop, Stream, Timer
 from tests.platform.bed import S, event
 
-MAX_EVENT_DELAY_NS = 4 * S  # an event counts as told so long after a break of the service at the latest
-MAX_OUTAGE_NS = 3 * S  # so no break lasts longer, and what it held back is told by then
+MAX_EVENT_DELAY_NS = 4 * S  # after an outage an event counts as announced after this at the latest
+MAX_OUTAGE_NS = 3 * S  # so that delayed events are sent by then
 
 
 class SoakJournal:
-    """Events are kept from the second on; the first is in the scheduler's configuration."""
+    """Stores events from the second on; the first is in the scheduler's configuration."""
 
     def __init__(self, loop: Loop) -> None:
         self.loop = loop
@@ -57,28 +57,28 @@
                 stream.write(line)
 
     def add_event(self, row: dict[str, Any]) -> int:
-        """Add an event; the time by which it counts as told."""
+        """Add an event; return the time from which on it counts as announced."""
         self.events.append(json.dumps(event(len(self.events) + 2, row)).encode() + b"\n")
         self._write(self.events[-1])
         now = self.loop.now_ns()
         return now if self.broken_since_ns is None else max(now, self.broken_since_ns + MAX_EVENT_DELAY_NS)
 
     def fail(self, resets: bool) -> None:
-        """Fall silent; with `resets`, break off the connections too."""
+        """Fall silent; with `resets`, also abort the connections."""
         self.broken_since_ns = self.loop.now_ns()
         self._recovery_timer = self.loop.call_later(MAX_OUTAGE_NS, self.recover)
         for stream in list(self._requests) if resets else []:
             stream.abort()
 
     def recover(self) -> None:
-        """Serve again: whoever is connected gets what it missed."""
+        """Serve again: connected followers get the events that they missed."""
         if self._recovery_timer is not None:
             self._recovery_timer.cancel()
         self.broken_since_ns, self.up_since_ns = None, self.loop.now_ns()
-        for stream, asked in list(self._requests.items()):
+        for stream, request in list(self._requests.items()):
             if stream in self._subscribers:
-                stream.abort()  # what it was told is not known any more: it asks again
-            elif asked.endswith(b"\n"):
+                stream.abort()  # what it received is unknown: it must ask again
+            elif request.endswith(b"\n"):
                 self._serve(stream)
 
     def close(self) -> None:
--- a/tests/platform/soak_resets.py
+++ b/tests/platform/soak_resets.py
@@ -1,6 +1,6 @@
-"""Drawn plays that end in resets: machines tell ends and reset connections, with pauses of the process.
+"""Random runs that end with resets: machines report ends and reset connections, while the process is paused.
 
-`python -m tests.platform.soak_resets FIRST LAST` plays these seeds.  Each is a short play of the soak with an
+`python -m tests.platform.soak_resets FIRST LAST` runs these seeds.  Each is a short run of the soak with an
 ending of its own, so that many of them fit into a minute."""
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
         self.terminate()
 
     def _reset_while_paused(self) -> None:
-        """Ends are told to a process that stands still, and half of the connections are reset behind them."""
+        """Report ends to a paused process, then reset half of the connections."""
         os.kill(self.bed.child.pid, signal.SIGSTOP)
         for _ in range(ENDS_WHILE_PAUSED):
             self._end_task()
@@ -43,7 +43,7 @@
         os.kill(self.bed.child.pid, signal.SIGCONT)
 
     def _reset_between_ends(self) -> None:
-        """Ends some milliseconds apart, with pauses and resets between them."""
+        """Report ends some milliseconds apart, with pauses and resets between them."""
         for _ in range(ENDS_WHILE_RUNNING):
             self._end_task()
             if self.rng.random() < FAULT_PROBABILITY:
@@ -55,7 +55,7 @@
 
 
 def run_seed(seed: int) -> tuple[list[str], int]:
-    """The faults that were found with this seed, and how many set-ups were asked for."""
+    """Run one seed; return the faults found and the number of set-ups sent."""
     with tempfile.TemporaryDirectory() as folder:
         return run_and_judge(ResetSoakRun(Path(folder), seed), seed)
 
--- a/tests/platform/soak_service.py
+++ b/tests/platform/soak_service.py
@@ -1,7 +1,7 @@
-"""Drawn plays around the life of a process: signals in series, a successor, the journal service, crowds of
-callers, and SIGKILL at the protocol's earliest, with owners that go on until then.
+"""Random runs over the life of a process: series of signals, a successor, journal failures, many callers at
+once, and SIGKILL as early as the protocol allows, with owners that send set-ups until then.
 
-`python -m tests.platform.soak_service FIRST LAST` plays these seeds."""
+`python -m tests.platform.soak_service FIRST LAST` runs these seeds."""
 
 from __future__ import annotations
 
@@ -23,11 +23,12 @@
 
 STEPS = 120
 NO_ID = "0" * 16
-RECEIVE_ROUNDS = 5  # rounds of the test's loop: a connection is accepted in one and read in another
+# Rounds of the test's loop that a message may take: its connection is accepted in one and read in another.
+RECEIVE_ROUNDS = 5
 MAX_CROWD = 200  # callers that connect at once
-DRAIN_GRACE_NS = 500 * MS  # of the settings
+DRAIN_GRACE_NS = 500 * MS  # as in the settings
 TOLERANCE_NS = 50 * MS  # of each time limit
-RECONNECT_NS = 200 * MS  # to the journal service, with a refusal between
+RECONNECT_NS = 200 * MS  # to the journal service, with one refused attempt
 ACCEPT_AFTER_STOP_MS = 700  # after SIGTERM new connections come for 0.2 to 0.4 s, set-ups on open ones go on
 # SIGKILL comes no sooner: the longest deadline counts as 3 s at most.
 KILL_AFTER_MS = ACCEPT_AFTER_STOP_MS + 3000
@@ -35,17 +36,17 @@
 
 
 class ServiceSoakRun(SoakRun):
-    """What is drawn here comes from a generator of its own, beside the steps of the soak."""
+    """Operations of its own in addition to the steps of the soak, from a random generator of their own."""
 
     def __init__(self, folder: Path, seed: int) -> None:
         self.service_rng = random.Random(f"service {seed}")
-        self.forbidden_after_ns: dict[str, int] = {}  # draining machines: nothing is sent to them after that
+        self.forbidden_after_ns: dict[str, int] = {}  # by draining machine: no set-up may be sent after this
         self.late_setups: list[str] = []
         # When the last rounds began: a message that a machine receives now was sent after the first of them.
         self.round_starts_ns = deque([0], maxlen=RECEIVE_ROUNDS)
-        self.crowd: list[SoakOwner] = []  # the last crowd
+        self.crowd: list[SoakOwner] = []  # the callers that connected last
         self.killed_pids: list[int | None] = []
-        self.repeated_ends: dict[Machine, list[str]] = {}  # ends that are told on the next connection as well
+        self.repeated_ends: dict[Machine, list[str]] = {}  # ends to report again on the next connection
         super().__init__(folder, seed)
         self.has_successor = self.service_rng.random() < 0.5
         self.repeats_ends = self.has_successor or self.service_rng.random() < 0.5
@@ -73,9 +74,9 @@
             self.repeated_ends.setdefault(machine, []).append(id)
 
     def _on_message(self, conn: MachineConn, message: Message) -> None:
-        until_ns, came_ns = self.forbidden_after_ns.get(conn.machine.name), self.round_starts_ns[0]
-        if message.kind is Kind.SETUP and until_ns is not None and came_ns > until_ns:
-            late_ms = (came_ns - until_ns) // MS
+        until_ns, sent_after_ns = self.forbidden_after_ns.get(conn.machine.name), self.round_starts_ns[0]
+        if message.kind is Kind.SETUP and until_ns is not None and sent_after_ns > until_ns:
+            late_ms = (sent_after_ns - until_ns) // MS
             self.note(f"{message.id} sent to {conn.machine.name}")
             self.late_setups.append(f"{message.id}: sent to {conn.machine.name} {late_ms} ms past its grace")
         super()._on_message(conn, message)
@@ -86,7 +87,7 @@
             super()._turn(1)
 
     def _change_stage(self) -> None:
-        """A machine is told to be draining, or to take tasks again."""
+        """Announce that a machine drains, or that it accepts tasks again."""
         assert self.journal is not None
         machine = self.service_rng.choice(self.bed.machines[: len(self.bed.machines) // 2])
         if machine.name in self.forbidden_after_ns:
@@ -94,9 +95,9 @@
             self.journal.add_event(machine.row("ready"))
             self.note(f"{machine.name} ready")
         else:
-            told_ns = self.journal.add_event(machine.row("draining"))
-            self.forbidden_after_ns[machine.name] = told_ns + DRAIN_GRACE_NS + TOLERANCE_NS
-            self.note(f"{machine.name} draining, counts as told at {told_ns // MS}")
+            announced_ns = self.journal.add_event(machine.row("draining"))
+            self.forbidden_after_ns[machine.name] = announced_ns + DRAIN_GRACE_NS + TOLERANCE_NS
+            self.note(f"{machine.name} draining, counts as told at {announced_ns // MS}")
 
     def _toggle_journal(self) -> None:
         assert self.journal is not None
@@ -109,26 +110,26 @@
             self.journal.recover()
 
     def _extend_deadlines(self) -> None:
-        """What a break before, or a moment before this one, kept from a process that was connecting anew, is
-        told by this break's own rule: no later than 4 s after it began."""
+        """Extend deadlines that this outage delays.  An event that the process had not received, because of
+        the previous outage or as it was reconnecting, counts as announced 4 s after this outage began."""
         assert self.journal is not None
         now, allowed_ns = self.bed.loop.now_ns(), DRAIN_GRACE_NS + TOLERANCE_NS
         was_up = now - self.journal.up_since_ns >= RECONNECT_NS
         for name, until_ns in self.forbidden_after_ns.items():
-            told_ns = until_ns - allowed_ns
-            if told_ns > now - RECONNECT_NS and not (was_up and told_ns > now):
+            announced_ns = until_ns - allowed_ns
+            if announced_ns > now - RECONNECT_NS and not (was_up and announced_ns > now):
                 self.forbidden_after_ns[name] = now + MAX_EVENT_DELAY_NS + allowed_ns
 
     # --- signals ------------------------------------------------------------------------------------------
 
     def _reload(self) -> None:
-        """SIGHUP, with the file as it was, with the journal service elsewhere, or half written at first."""
+        """Send SIGHUP, with the file unchanged, with a new journal address, or half written at first."""
         assert self.journal is not None
         kind = self.service_rng.choice(("same", "moved", "half"))
         path = self.bed.config_path
         write: Callable[[str], int] = path.write_text
         if not self.bed.is_ready():
-            kind, write = "same", self._replace_config  # a starting successor reads the file once
+            kind, write = "same", self._replace_config  # a starting successor reads the file only once
         whole = path.read_text()
         if kind == "moved":
             moved = json.loads(whole) | {"journal": self.service_rng.choice(self.journal.addresses)}
@@ -147,7 +148,7 @@
         return written
 
     def _send_signals(self) -> None:
-        """Signals one after the other, with pauses of the process between them."""
+        """Send several signals, with pauses of the process between them."""
         for _ in range(self.service_rng.randrange(1, 4)):
             self._reload()
             if self.service_rng.random() < 0.3:
@@ -156,9 +157,9 @@
     # --- owners -------------------------------------------------------------------------------------------
 
     def _connect_crowd(self) -> None:
-        """Callers connect at once: most ask, some say nothing, half a line, or leave.
+        """Connect many callers at once: most send a set-up, some nothing or half a line, some disconnect.
 
-        Those of the last crowd go, as owners hold a third of the descriptors at most."""
+        The previous callers disconnect, as owners hold a third of the descriptors at most."""
         for caller in self.crowd:
             for id in caller.sent_ns:
                 self.records[id].withdrawn = True
@@ -177,7 +178,7 @@
                 caller.stream.abort()
 
     def _hand_over(self) -> None:
-        """Owners hand what stands to the process that serves now."""
+        """Hand running tasks over to the process that is serving now."""
         owner = self._reconnect(self.owners[0])
         seen = [*self.owners, *self.past_owners]
         answered = {m.id for each in seen for m in each.received(Kind.ANSWER)}
@@ -189,7 +190,7 @@
                 extras = f"{handed.fields['extras']};at:{record.accepted[-1]}"
                 owner.send(replace(handed, id=id, fields=handed.fields | {"extras": extras}))
 
-    # --- the play -----------------------------------------------------------------------------------------
+    # --- the run ------------------------------------------------------------------------------------------
 
     def _step(self) -> None:
         super()._step()
@@ -223,7 +224,7 @@
         self._turn(50)
 
     def _restart(self) -> None:
-        """A planned restart: the successor waits for the address beside its predecessor."""
+        """A planned restart: the successor waits for the address while its predecessor ends."""
         self._accept_everywhere()
         self._write_known()
         self.bed.start()
@@ -235,7 +236,7 @@
         self._turn(RESTART_ROUNDS)
 
     def _write_known(self) -> None:
-        """The file has all events until a start."""
+        """Write all events so far to the file, as before a start."""
         assert self.journal is not None
         file = json.loads(self.bed.config_path.read_text())
         entries = [file["known"]["entries"][0], *map(json.loads, self.journal.events)]
@@ -243,7 +244,7 @@
         self.bed.config_path.write_text(json.dumps(file))
 
     def _wait_for_pong(self) -> None:
-        """Owners take a process in once it has passed a test."""
+        """Wait until a ping is answered: owners use a process only after that."""
         owner = self._reconnect(self.owners[0])
         owner.send(Message(Kind.PING, NO_ID, TEST_ASKED))
         self.bed.run(lambda: owner.received(Kind.PONG))
@@ -256,7 +257,7 @@
         return [each.returncode for each in self.bed.children if each.pid not in self.killed_pids]
 
     def _terminate_process(self) -> None:
-        """SIGTERM, other signals behind it, and SIGKILL at its earliest; owners go on until the end."""
+        """Send SIGTERM, more signals, and SIGKILL as early as allowed; owners send set-ups until the end."""
         ending = self.bed.child
         begun_ns = self.terminated_ns = self.bed.loop.now_ns()
         self.note("SIGTERM")
@@ -288,7 +289,7 @@
 
 
 def run_seed(seed: int) -> tuple[list[str], int]:
-    """The faults that were found with this seed, and how many set-ups were asked for."""
+    """Run one seed; return the faults found and the number of set-ups sent."""
     with tempfile.TemporaryDirectory() as folder:
         return run_and_judge(ServiceSoakRun(Path(folder), seed), seed)
 
--- a/tests/platform/test_crowd.py
+++ b/tests/platform/test_crowd.py
@@ -1,4 +1,4 @@
-"""A crowd of set-ups at once, on a real process and on a bed where each decision takes its time."""
+"""Many set-ups at once, on a real process and on a test bed with slow decisions."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from ladderhub.signalling import Kind, Message
 from tests.platform.bed import MS, Bed, Owner, S, accept_all, place_task, release
 
-DECISION_NS = 10 * MS  # what one placement is made to take on the bed
-EVENT_NS = MS  # any event of the module
-MESSAGE_NS = 5 * MS  # and one message of a machine
-ACCEPT_NS = 5 * MS  # and the accept of one caller
-ANSWER_GRACE_NS = 500 * MS  # an answer so long after its time is lost
+DECISION_NS = 10 * MS  # duration of one placement on the test bed
+EVENT_NS = MS  # of any event of the module
+MESSAGE_NS = 5 * MS  # of one message of a machine
+ACCEPT_NS = 5 * MS  # of accepting one caller
+ANSWER_GRACE_NS = 500 * MS  # an answer this long after its deadline is lost
 
 
 def slow_down(bed: Bed, pick_ns: int = DECISION_NS) -> None:
-    """Let the module take as long as on a slow machine: the bed's clock moves by it."""
+    """Simulate a slow machine: each event and placement advances the test bed's clock."""
     module, picking = bed.module(), bed.module().picker
     handle, pick = module.handle, picking.pick
 
@@ -40,7 +40,7 @@
     return owner.received(Kind.ANSWER) + owner.received(Kind.RELEASE)
 
 
-def test_an_end_does_not_wait_behind_a_crowd_of_set_ups(beds: Any) -> None:
+def test_an_end_does_not_wait_behind_many_set_ups(beds: Any) -> None:
     bed = beds(*[accept_all] * 8)
     owners = [Owner(bed) for _ in range(4)]
     asked = place_task(bed, owners[0])
@@ -49,24 +49,24 @@
         owner.send(*[bed.setup(left=8000, cores=0.01, memory=0.01) for _ in range(60)])
     machine = next(each for each in bed.machines if each.received(Kind.SETUP))
     machine.conns[0].send(release(asked.id, 16))
-    begun_ns = bed.clock.now_ns()
+    started_ns = bed.clock.now_ns()
     bed.run(lambda: any(each.id == asked.id for each in owners[0].received(Kind.RELEASE)))
-    assert bed.clock.now_ns() - begun_ns < S  # what has stood is released within 1 s of its end
+    assert bed.clock.now_ns() - started_ns < S  # a task's end is reported within 1 s
     bed.run(lambda: sum(len(get_answers(owner)) for owner in owners) == 4 * 60 + 2)
 
 
 def test_a_caller_is_not_closed_as_silent_while_its_set_up_waits_to_be_read(beds: Any) -> None:
     bed = beds(*[accept_all] * 8)
     slow_down(bed)
-    crowd, late = Owner(bed), Owner(bed)
-    crowd.send(*[bed.setup(left=8000, cores=0.01, memory=0.01) for _ in range(400)])
-    bed.run(lambda: crowd.received(Kind.ANSWER))
+    burst, late = Owner(bed), Owner(bed)
+    burst.send(*[bed.setup(left=8000, cores=0.01, memory=0.01) for _ in range(400)])
+    bed.run(lambda: burst.received(Kind.ANSWER))
     late.send(bed.setup(left=8000))
     bed.run(lambda: get_answers(late) or late.closed)
     assert not late.closed and len(get_answers(late)) == 1
 
 
-def test_a_dial_that_came_up_is_not_timed_out_by_a_late_look(beds: Any) -> None:
+def test_a_connection_that_was_established_is_not_timed_out_by_a_late_check(beds: Any) -> None:
     bed = beds(*[accept_all] * 60)
     slow_down(bed)
     owner = Owner(bed)
@@ -75,8 +75,8 @@
     assert not [row for row in bed.logged if row["event"] == "machine.unreached"]
 
 
-def test_callers_who_wait_to_be_accepted_go_before_set_ups_that_wait_to_be_placed(beds: Any) -> None:
-    # Guards against requests whose answer comes after their time, as their callers were not even accepted.
+def test_waiting_callers_are_accepted_before_queued_set_ups_are_placed(beds: Any) -> None:
+    # Guards against answers after the deadline because callers were accepted too late.
     bed = beds(*[accept_all] * 8, sockets=2048)
     slow_down(bed)
     server, left_ms = bed.service.owners, 2000
@@ -87,23 +87,23 @@
         accept(sock)
 
     server._listener._accept = accept_slowly
-    begun_ns, callers = bed.clock.now_ns(), [Owner(bed) for _ in range(250)]
+    started_ns, callers = bed.clock.now_ns(), [Owner(bed) for _ in range(250)]
     for caller in callers:
         caller.send(bed.setup(left=left_ms, cores=0.01, memory=0.01))
     bed.run(lambda: server.count_connections() == len(callers))
-    assert bed.clock.now_ns() - begun_ns <= left_ms * MS
+    assert bed.clock.now_ns() - started_ns <= left_ms * MS
     bed.run(lambda: all(len(get_answers(caller)) == 1 for caller in callers))
-    assert bed.clock.now_ns() - begun_ns <= left_ms * MS + ANSWER_GRACE_NS
+    assert bed.clock.now_ns() - started_ns <= left_ms * MS + ANSWER_GRACE_NS
 
 
-def test_a_real_process_tells_an_end_before_it_has_placed_a_crowd(process_beds: Any) -> None:
+def test_a_real_process_reports_an_end_before_it_has_placed_many_set_ups(process_beds: Any) -> None:
     bed = process_beds(*[accept_all] * 100)
     owners = [bed.owner() for _ in range(4)]
     asked = bed.setup()
     owners[0].send(asked)
     bed.run(lambda: owners[0].received(Kind.ANSWER))
     machine = next(each for each in bed.machines if each.received(Kind.SETUP))
-    os.kill(bed.child.pid, signal.SIGSTOP)  # so that all of it lies there at once
+    os.kill(bed.child.pid, signal.SIGSTOP)  # so that everything arrives at once
     for owner in owners:
         owner.send(*[bed.setup() for _ in range(100)])
     machine.conns[0].send(release(asked.id, 16))
@@ -114,10 +114,10 @@
         bed.loop.turn(MS)
     dialled = sum(len(each.conns) for each in bed.machines)
     os.kill(bed.child.pid, signal.SIGCONT)
-    assert dialled <= 100  # a quarter of the crowd: it would be nearly all, were it placed first
+    assert dialled <= 100  # a quarter of the set-ups; nearly all if they were placed first
 
 
-def test_a_real_process_answers_each_set_up_of_a_crowd(process_beds: Any) -> None:
+def test_a_real_process_answers_each_of_many_set_ups(process_beds: Any) -> None:
     bed = process_beds(*[accept_all] * 400)
     owners = [bed.owner() for _ in range(16)]
     asked = {owner: [bed.setup() for _ in range(100)] for owner in owners}
@@ -129,8 +129,8 @@
     assert not any(owner.closed for owner in owners)
 
 
-def test_an_end_is_read_in_time_where_each_message_takes_long(beds: Any) -> None:
-    # Guards against placements that take their slice while what others sent lies unread for over a second.
+def test_an_end_is_read_in_time_although_each_message_takes_long(beds: Any) -> None:
+    # Guards against placements that keep other messages unread for over a second.
     bed = beds(*[accept_all] * 80)
     owners = [Owner(bed) for _ in range(4)]
     held = [bed.handover(machine) for machine in bed.machines]
@@ -152,14 +152,14 @@
     bed.run(lambda: bed.service.tasks.open_count > 300)
     for machine, asked in zip(bed.machines, held, strict=True):
         machine.conns[0].send(release(asked.id, 16))
-    begun_ns = bed.clock.now_ns()
+    started_ns = bed.clock.now_ns()
     ids = {each.id for each in held}
     bed.run(lambda: ids <= {each.id for owner in owners for each in owner.received(Kind.RELEASE)})
-    assert bed.clock.now_ns() - begun_ns < S
+    assert bed.clock.now_ns() - started_ns < S
 
 
-def test_set_ups_that_run_out_of_time_together_are_all_refused_in_time(beds: Any) -> None:
-    # Guards against one answer a round where rounds are long: the others were failed at the backstop.
+def test_set_ups_with_the_same_deadline_are_all_refused_in_time(beds: Any) -> None:
+    # Guards against one answer per round when rounds are long: the others failed at the deadline timer.
     bed = beds(*[accept_all] * 4)
     slow_down(bed)
     owners = [Owner(bed) for _ in range(2)]
--- a/tests/platform/test_eviction.py
+++ b/tests/platform/test_eviction.py
@@ -1,4 +1,4 @@
-"""Which caller makes room for a new one, and what a choice costs."""
+"""Which caller is closed to make room for a new one, and what choosing it costs."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from tests.platform.bed import Owner, accept_all, place_task
 
 
-def test_the_least_known_goes_first_and_of_those_the_longest_unheard() -> None:
+def test_the_least_trusted_goes_first_and_of_those_the_longest_unheard() -> None:
     order: EvictionOrder[str] = EvictionOrder()
     for name, trust in (
         ("a", Trust.NONE),
@@ -28,8 +28,8 @@
     assert list(order) == ["a", "d", "b"]
 
 
-def test_room_is_made_among_many_callers_at_the_cost_of_few(beds: Any) -> None:
-    # Guards against a crowd in which each accept looks at all connections.
+def test_making_room_costs_no_more_among_many_callers(beds: Any) -> None:
+    # Guards against a scan of all connections for each accepted caller.
     costs = []
     for callers in (20, 100):
         bed = beds(accept_all, sockets=512)
@@ -42,7 +42,7 @@
     assert costs[1] < 1.2 * costs[0]
 
 
-def test_owners_outlast_a_crowd_that_only_tests(beds: Any) -> None:
+def test_owners_stay_connected_among_many_callers_that_only_ping(beds: Any) -> None:
     bed = beds(accept_all, sockets=64)
     owner = Owner(bed)
     place_task(bed, owner)
--- a/tests/platform/test_intake.py
+++ b/tests/platform/test_intake.py
@@ -1,4 +1,4 @@
-"""Whose set-up is placed next, and what becomes of those that wait when the process ends."""
+"""The order in which queued set-ups are placed, and what happens to them when the process ends."""
 
 from __future__ import annotations
 
@@ -21,42 +21,42 @@
         return self.waiting
 
 
-def take_all(intake: SetupQueue[FakeSetup], now_ns: int = 0) -> list[str]:
+def take_all(queue: SetupQueue[FakeSetup], now_ns: int = 0) -> list[str]:
     names = []
-    while (each := intake.take(now_ns)) is not None:
+    while (each := queue.take(now_ns)) is not None:
         each.waiting = False
         names.append(each.name)
     return names
 
 
-def test_callers_have_turns_and_each_is_served_in_its_order() -> None:
-    intake: SetupQueue[FakeSetup] = SetupQueue(10, 100)
+def test_callers_are_served_round_robin_and_each_in_its_order() -> None:
+    queue: SetupQueue[FakeSetup] = SetupQueue(10, 100)
     for name in ("a1", "a2", "a3", "b1", "b2", "c1"):
-        intake.add(name[0], FakeSetup(name))
-    assert take_all(intake) == ["a1", "b1", "c1", "a2", "b2", "a3"]
-    assert len(intake) == 0
+        queue.add(name[0], FakeSetup(name))
+    assert take_all(queue) == ["a1", "b1", "c1", "a2", "b2", "a3"]
+    assert len(queue) == 0
 
 
-def test_one_whose_time_is_nearly_over_goes_first() -> None:
-    intake: SetupQueue[FakeSetup] = SetupQueue(10, 100)
+def test_a_set_up_close_to_its_deadline_goes_first() -> None:
+    queue: SetupQueue[FakeSetup] = SetupQueue(10, 100)
     for name, until_ns in (("a1", 1000), ("a2", 50), ("b1", 40)):
-        intake.add(name[0], FakeSetup(name, until_ns))
-    assert take_all(intake, 39)[:1] == ["b1"]
-    intake.add("a", FakeSetup("a3"))
-    assert take_all(intake) == ["a3"]
+        queue.add(name[0], FakeSetup(name, until_ns))
+    assert take_all(queue, 39)[:1] == ["b1"]
+    queue.add("a", FakeSetup("a3"))
+    assert take_all(queue) == ["a3"]
 
 
-def test_one_that_no_longer_waits_is_passed_over() -> None:
-    intake: SetupQueue[FakeSetup] = SetupQueue(10, 2)
+def test_a_set_up_that_no_longer_waits_is_skipped() -> None:
+    queue: SetupQueue[FakeSetup] = SetupQueue(10, 2)
     first, second = FakeSetup("a1"), FakeSetup("a2")
-    intake.add("a", first)
-    intake.add("a", second)
-    assert intake.is_full()
+    queue.add("a", first)
+    queue.add("a", second)
+    assert queue.is_full()
     first.waiting = False
-    assert take_all(intake) == ["a2"] and not intake.is_full()
+    assert take_all(queue) == ["a2"] and not queue.is_full()
 
 
-def test_what_waits_to_be_placed_is_refused_when_the_process_ends(beds: Any) -> None:
+def test_waiting_set_ups_are_refused_when_the_process_ends(beds: Any) -> None:
     bed = beds(ignore_all)
     slow_down(bed)
     owner = Owner(bed)
@@ -69,12 +69,12 @@
     assert len(bed.machines[0].received(Kind.SETUP)) < 30 and not bed.service.tasks.open_count
 
 
-def test_a_set_up_taken_back_before_its_turn_begins_nothing(beds: Any) -> None:
+def test_a_set_up_cancelled_before_its_turn_starts_no_attempt(beds: Any) -> None:
     bed = beds(ignore_all)
     slow_down(bed)
     owner = Owner(bed)
     setups = [bed.setup(left=9000, cores=0.01, memory=0.01) for _ in range(40)]
     owner.send(*setups, *[Message(Kind.RELEASE, each.id, 16) for each in setups[20:]])
     bed.run(span_ns=2 * S)
-    begun = {message.id for message in bed.machines[0].received(Kind.SETUP)}
-    assert begun == {each.id for each in setups[:20]}
+    started = {message.id for message in bed.machines[0].received(Kind.SETUP)}
+    assert started == {each.id for each in setups[:20]}
--- a/tests/platform/test_journal.py
+++ b/tests/platform/test_journal.py
@@ -1,4 +1,4 @@
-"""The list of machines as the journal service tells it, through breaks, silence and moves."""
+"""The machine list as sent by the journal service, through failures, silence and address changes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests.platform.bed import accept_all, event, place_task, release
 
 
-def test_the_journal_is_followed_through_breaks_silence_and_a_new_address(beds: Any) -> None:
+def test_the_journal_is_followed_through_disconnects_silence_and_a_new_address(beds: Any) -> None:
     bed = beds(accept_all)
     new = Machine(bed, "m7", accept_all)
     follower = bed.service.follower
@@ -24,7 +24,7 @@
     bed.run(lambda: follower.pos == 2)
     bed.journal.streams[0].abort()
     bed.run(lambda: len(bed.journal.requests) == 2)
-    bed.run(span_ns=1_700 * MS)  # silence: the line of each second was missed
+    bed.run(span_ns=1_700 * MS)  # silence: the line of a second is missing
     bed.run(lambda: len(bed.journal.requests) == 3)
     assert bed.journal.requests == [b"tail 1\n", b"tail 2\n", b"tail 2\n"]
     moved, old = bed.journal, bed.journal.streams[0]
@@ -37,7 +37,7 @@
         patch.setenv("PROXY_LISTEN", "127.0.0.1:1")
         bed.service.reload()
         bed.run(lambda: bed.journal.requests)
-        old.write(json.dumps(event(3, new.row("draining"))).encode() + b"\n")  # still good for a while
+        old.write(json.dumps(event(3, new.row("draining"))).encode() + b"\n")  # it is still read
         bed.run(lambda: follower.pos == 3)
         bed.journal.write(json.dumps(event(3, new.row("draining"))).encode() + b"\n")
         bed.path.write_text("{half")
@@ -48,9 +48,9 @@
     assert moved.requests[-1] == b"tail 2\n" and bed.journal.requests == [b"tail 2\n"]
 
 
-def test_no_test_is_passed_before_what_was_told_during_the_start_is_taken(beds: Any) -> None:
-    # Guards against set-ups to machines that were announced as leaving while the scheduler was starting: its
-    # list is as old as its start is long, and whoever passes a test gets set-ups at once.
+def test_no_ping_is_answered_before_the_events_sent_during_the_start_are_handled(beds: Any) -> None:
+    # Guards against set-ups to machines that were announced as draining while the scheduler was starting: its
+    # list is out of date by then, and owners send set-ups as soon as their ping is answered.
     bed = beds(accept_all, accept_all, caught_up=False)
     owner = Owner(bed)
     owner.send(Message(Kind.PING, "0" * 16, 0))
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize("journal", ["has nothing to tell", "does not answer"])
-def test_a_journal_without_news_keeps_no_scheduler_from_serving(beds: Any, journal: str) -> None:
+def test_a_journal_without_events_keeps_no_scheduler_from_serving(beds: Any, journal: str) -> None:
     bed = beds(accept_all, caught_up=False)
     if journal == "does not answer":
         bed.journal.listener.close()
@@ -80,8 +80,8 @@
     assert owner.received(Kind.PONG)[0].cause == 1
 
 
-def test_the_journal_is_read_before_set_ups_that_lie_there_with_it(beds: Any) -> None:
-    # Guards against a flood of set-ups under which an announced drain lies unread, past the grace.
+def test_the_journal_is_read_before_set_ups_that_arrived_with_it(beds: Any) -> None:
+    # Guards against many set-ups that keep an announced drain unread beyond its grace period.
     bed = beds(accept_all, accept_all)
     owners = [Owner(bed) for _ in range(30)]
     bed.run()
@@ -95,11 +95,11 @@
 @pytest.mark.parametrize(
     "spoilt", [{"left_over": "much"}, {"status": "?"}, {"type": "odd"}, {"address": "x"}]
 )
-def test_a_row_that_cannot_be_used_is_told_and_the_rest_of_its_event_is_in_force(
+def test_an_invalid_row_is_logged_and_the_rest_of_its_event_is_applied(
     beds: Any, spoilt: dict[str, Any]
 ) -> None:
-    # Guards against one bad row that keeps the whole list from changing, or a scheduler from starting; and
-    # against set-ups to the machine that it was about, which may be leaving.
+    # Guards against one bad row that blocks all changes of the list, or the start of a scheduler; and against
+    # set-ups to the row's machine, which may be draining.
     bed = beds(accept_all, accept_all, accept_all)
     owner, (one, two, _) = Owner(bed), bed.machines
     rows = (one.row("draining") | spoilt, two.row("draining"))
@@ -112,7 +112,7 @@
     assert not [row for row in bed.logged if row["event"] == "journal.closed"]
     bed.file["known"] = {"pos": 1, "entries": [event(1, *rows, full=True)]}
     bed.path.write_text(json.dumps(bed.file))
-    (known,) = load_config(bed.environment).known  # and a scheduler starts on such a list
+    (known,) = load_config(bed.environment).known  # a scheduler can start with such a list
     assert known.rows is not None and len(known.rows) + len(known.spoilt) == 2
 
 
@@ -129,13 +129,13 @@
 def test_a_journal_that_moves_twice_in_a_second_is_followed_and_leaves_nothing_behind(
     beds: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards against a connection to the first address that nobody kept: it was never closed where its service
-    # did not close it, and what it told last was lost where it was closed too soon.
+    # Guards against losing track of the connection to the first address: it was never closed if its service
+    # did not close it, and its last events were lost if it was closed too soon.
     bed = beds(accept_all)
     new = Machine(bed, "m7", accept_all)
     follower, first = bed.service.follower, bed.journal
     bed.run(lambda: first.requests)
-    services = [first, Journal(bed), Journal(bed)]  # the middle one accepts and is silent
+    services = [first, Journal(bed), Journal(bed)]  # the middle one accepts but stays silent
     for name, value in bed.environment.items():
         monkeypatch.setenv(name, value)
     monkeypatch.setenv("PROXY_LISTEN", "127.0.0.1:1")
@@ -145,9 +145,9 @@
         bed.run(span_ns=300 * MS)
     lines = [json.dumps(event(pos, new.row(status))).encode() + b"\n"
              for pos, status in ((2, "ready"), (3, "draining"), (4, "gone"))]  # fmt: skip
-    first.write(lines[0])  # still good for a while
+    first.write(lines[0])  # it is still read
     bed.run(lambda: follower.pos == 2)
-    services[2].write(b"0\n" + b"".join(lines))  # and this one is behind: it tells again what was told
+    services[2].write(b"0\n" + b"".join(lines))  # this one is behind and sends events again
     bed.run(lambda: follower.pos == 4)
     for _ in range(20):
         services[2].write(b"4\n")
@@ -159,7 +159,7 @@
 def test_a_file_read_while_it_was_being_written_is_read_again(
     beds: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards against a signal that came in the middle of a write: nobody signals again.
+    # Guards against a signal that arrives in the middle of a write, without another one afterwards.
     bed = beds(accept_all)
     other = Journal(bed)
     for name, value in bed.environment.items():
@@ -176,10 +176,11 @@
 
 
 def test_idle_clients_that_fill_the_descriptors_keep_nobody_from_the_journal(beds: Any) -> None:
-    # Guards against a list that grows old behind a crowd: the journal, the machines and the log have theirs.
+    # Guards against an outdated list because callers use up the descriptors: the journal, the machines and
+    # the log have descriptors of their own.
     bed = beds(accept_all, sockets=48)
     good = Owner(bed)
-    standing, open_one = place_task(bed, good), bed.setup(left=8000, cores=32)
+    running, open_one = place_task(bed, good), bed.setup(left=8000, cores=32)
     good.send(open_one)
     bed.run(lambda: bed.module().waiting_tasks)
     address = bed.journal.listener.address
@@ -195,14 +196,14 @@
     bed.run(lambda: len(bed.journal.requests) == 2, span_ns=150 * MS)
     fresh = Owner(bed)
     place_task(bed, fresh)
-    bed.machines[0].conns[0].send(release(standing.id, 16))
-    bed.run(lambda: [m for m in good.received(Kind.RELEASE) if m.id == standing.id])
+    bed.machines[0].conns[0].send(release(running.id, 16))
+    bed.run(lambda: [m for m in good.received(Kind.RELEASE) if m.id == running.id])
     assert not good.closed and bed.errors == []
 
 
 @pytest.mark.parametrize("way", ["at once", "over a dial"])
-def test_a_drain_that_lies_unread_as_a_set_up_leaves_is_heard_first(beds: Any, way: str) -> None:
-    # Guards against a long round of the loop: the event counts as told while it lies in our socket.
+def test_an_unread_drain_is_handled_before_a_set_up_is_sent(beds: Any, way: str) -> None:
+    # Guards against a long round of the loop: an event counts as announced while it is unread in our socket.
     bed = beds(accept_all)
     machine, owner = bed.machines[0], Owner(bed)
     bed.run(lambda: bed.journal.requests)
--- a/tests/platform/test_log.py
+++ b/tests/platform/test_log.py
@@ -22,7 +22,7 @@
 from tests.platform.process_bed import ROOT
 
 
-def test_a_log_that_nobody_reads_holds_up_no_request(tmp_path: Path) -> None:
+def test_a_log_that_nobody_reads_delays_no_request(tmp_path: Path) -> None:
     port = free_port()
     file = {"journal": f"127.0.0.1:{free_port()}", "settings": settings(), "known": {"pos": 0, "entries": []}}
     (tmp_path / "c.json").write_text(json.dumps(file))
@@ -38,7 +38,7 @@
         while space.poll(0):
             os.write(writes, b"-" * 4096)  # the pipe is full, and stays so
         bad = encode_line(Message(Kind.SETUP, "b" * 16, None, "x" * 200, {"class": "c" * 300}))
-        for _ in range(10):  # each is told in a line of the log
+        for _ in range(10):  # each is logged
             with socket.create_connection(("127.0.0.1", port)) as caller:
                 caller.settimeout(20)
                 caller.sendall(bad)
@@ -50,7 +50,7 @@
     os.close(writes)
 
 
-def test_lines_wait_for_a_slow_reader_within_a_bound_and_leave_whole() -> None:
+def test_lines_are_buffered_for_a_slow_reader_up_to_a_limit_and_written_whole() -> None:
     reads, writes = os.pipe()
     fcntl.fcntl(writes, fcntl.F_SETPIPE_SZ, 4096)
     writer = LogWriter(writes)
--- a/tests/platform/test_owners.py
+++ b/tests/platform/test_owners.py
@@ -1,4 +1,4 @@
-"""The door that owners come to, and the ends that they are told."""
+"""The server that owners connect to, and the ends of tasks that it reports to them."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from tests.platform.bed import accept_all, event, ignore_all, place_task, release
 
 
-def test_an_end_is_told_on_another_connection_and_kept_until_there_is_one(beds: Any) -> None:
-    # Guards against releases dropped with the connection of their set-up: owners close those that carry none.
+def test_an_end_is_reported_on_another_connection_and_kept_until_there_is_one(beds: Any) -> None:
+    # Guards against releases lost with the connection of their set-up: owners close idle connections.
     bed = beds(accept_all)
     first, second = Owner(bed), Owner(bed)
     one, other = place_task(bed, first), place_task(bed, second)
@@ -35,7 +35,7 @@
     assert [m.id for m in second.received(Kind.RELEASE) + third.received(Kind.RELEASE)] == [one.id, other.id]
 
 
-def test_an_end_that_is_not_heard_is_told_again_elsewhere_but_not_for_ever(beds: Any) -> None:
+def test_an_unconfirmed_end_is_reported_again_elsewhere_but_not_for_ever(beds: Any) -> None:
     bed = beds(accept_all)
     deaf, other = Owner(bed, acknowledges=False), Owner(bed)
     asked = place_task(bed, deaf)
@@ -45,8 +45,9 @@
     assert len(deaf.received(Kind.RELEASE)) == len(other.received(Kind.RELEASE)) == 1
 
 
-def test_every_set_up_read_whole_gets_one_answer_also_before_and_after_garbage(beds: Any) -> None:
-    # Guards against a connection closed over unreadable bytes with good set-ups open, or behind, on it.
+def test_every_complete_set_up_gets_one_answer_also_before_and_after_garbage(beds: Any) -> None:
+    # Guards against unanswered set-ups when a connection is closed because of unreadable data: valid ones may
+    # be open on it, or follow the data.
     bed = beds(ignore_all)
     owner = Owner(bed)
     before, after = [bed.setup() for _ in range(5)], [bed.setup() for _ in range(5)]
@@ -61,7 +62,7 @@
     assert all(m.cause not in NEVER_RAN_CAUSES for m in owner.received(Kind.RELEASE))
 
 
-def test_what_cannot_be_used_is_told_and_leaves_others_alone(beds: Any) -> None:
+def test_an_invalid_message_is_rejected_and_affects_no_other_set_up(beds: Any) -> None:
     bed = beds(accept_all)
     good = Owner(bed)
     first = bed.setup("bill", left=3000)
@@ -82,11 +83,11 @@
     for message in [*wrong, nobody, bare, endless]:
         bad = Owner(bed)
         bad.send(message)
-        bed.run(lambda bad=bad: bad.received(Kind.RELEASE) or bad.closed)  # what can't be read is only closed
+        bed.run(lambda bad=bad: bad.received(Kind.RELEASE) or bad.closed)  # unreadable data only closes it
         assert all(each.cause not in NEVER_RAN_CAUSES for each in bad.received(Kind.RELEASE))
         bed.run(span_ns=60 * MS)
         assert bad.closed
-    # The id of an open set-up, from somebody else: that one is turned away and the open one is not touched.
+    # Another caller uses the id of an open set-up: it is rejected, and the open set-up is not affected.
     twin = bed.setup()
     twin.id = first.id
     bad = Owner(bed)
@@ -97,7 +98,7 @@
     assert len(bed.machines[0].received(Kind.SETUP)) == 1 and not good.received(Kind.RELEASE)
 
 
-def test_two_set_ups_under_one_id_are_both_failed(beds: Any) -> None:
+def test_two_set_ups_with_the_same_id_are_both_failed(beds: Any) -> None:
     bed = beds(ignore_all)
     owner, twin = Owner(bed), bed.setup()
     owner.send(twin, twin)
@@ -126,16 +127,16 @@
     bed.run(lambda: good.received(Kind.RELEASE))
 
 
-def test_a_connection_with_a_set_up_that_was_not_read_yet_is_never_closed_for_room(beds: Any) -> None:
-    # Guards against the close of a connection whose set-up lay unread behind a burst of new connections: what
-    # was written is taken, and a recorded day lost four requests so.
+def test_a_connection_with_an_unread_set_up_is_never_closed_for_room(beds: Any) -> None:
+    # Guards against closing a connection with an unread set-up to make room for a burst of new connections: a
+    # written set-up counts as received, and a recorded day lost four requests this way.
     bed = beds(accept_all, sockets=48)
     good = Owner(bed)
     bed.run()
     asked = bed.setup()
     listener = bed.service.owners._listener
     assert listener is not None
-    good.send(asked)  # written, and not read before forty others are accepted
+    good.send(asked)  # written, but unread until forty others are accepted
     others = [socket.create_connection(bed.owner_address) for _ in range(40)]
     listener._ready(0)
     bed.run(lambda: good.received(Kind.ANSWER))
@@ -144,9 +145,9 @@
         other.close()
 
 
-def test_a_crowd_that_only_tests_pushes_no_owner_out(beds: Any) -> None:
-    # Guards against ends told to strangers: a crowd that sent one test each had the owners' connections
-    # closed, or was told in their place since it came from the same address; ends were not told in time.
+def test_many_callers_that_only_ping_displace_no_owner(beds: Any) -> None:
+    # Guards against ends that reach their owner late: many callers that sent one ping each had the owners'
+    # connections closed, or were sent the ends instead because they had the same address.
     bed = beds(accept_all, sockets=48)
     good = Owner(bed)
     asked = place_task(bed, good)
@@ -157,7 +158,7 @@
     assert not good.closed
     other = Owner(bed, source="127.0.0.2")
     place_task(bed, other)
-    stranger = Owner(bed)  # from the first owner's address, and heard last
+    stranger = Owner(bed)  # has the first owner's address, and was heard last
     stranger.send(Message(Kind.PING, "0" * 16, 0))
     good.stream.abort()
     bed.run()
@@ -166,8 +167,8 @@
 
 
 @pytest.mark.parametrize("piece", [b"x", encode_line(Message(Kind.PROGRESS, "0" * 16))])
-def test_a_caller_that_drips_or_says_what_means_nothing_is_closed(beds: Any, piece: bytes) -> None:
-    # Guards against a line that is never finished, and against useless messages without end.
+def test_a_caller_that_sends_single_bytes_or_useless_messages_is_closed(beds: Any, piece: bytes) -> None:
+    # Guards against a line that is never completed, and against endless useless messages.
     bed = beds(accept_all)
     owner = Owner(bed)
     if piece == b"x":
@@ -179,7 +180,7 @@
 
 
 @pytest.mark.parametrize(("cause", "told"), [(16, [16]), (41, [41]), (7, [7]), (31, [])])
-def test_the_end_of_what_stood_is_told_once_unless_its_owner_brought_it(
+def test_the_end_of_a_task_is_reported_once_unless_its_owner_ended_it(
     beds: Any, cause: int, told: list[int]
 ) -> None:
     bed = beds(accept_all)
@@ -203,14 +204,14 @@
     assert [m.kind for m in owner.messages[1:]] == [Kind.MOVE] and not bed.module().tasks
 
 
-def test_tasks_handed_over_are_looked_after(beds: Any) -> None:
+def test_tasks_handed_over_are_adopted(beds: Any) -> None:
     bed = beds(accept_all)
     owner, again = Owner(bed), Owner(bed)
     held, nowhere = bed.handover(bed.machines[0]), bed.setup(at="m9")
     owner.send(Message(Kind.PING, "0" * 16, 0), held, nowhere)
     bed.run(lambda: bed.machines[0].conns and owner.received(Kind.RELEASE))
     assert [m.id for m in owner.received(Kind.RELEASE)] == [nowhere.id]
-    again.send(held)  # held already: no second task, and its owner can be reached there now
+    again.send(held)  # already known: no second task, but its owner can be reached there now
     bed.run()
     owner.stream.abort()
     bed.run()
@@ -219,7 +220,7 @@
     assert not bed.machines[0].received(Kind.SETUP) and not again.received(Kind.ANSWER)
 
 
-def test_an_owner_ends_a_standing_task_on_any_connection(beds: Any) -> None:
+def test_an_owner_ends_a_running_task_on_any_connection(beds: Any) -> None:
     bed = beds(accept_all)
     owner, other = Owner(bed), Owner(bed)
     asked = place_task(bed, owner)
@@ -231,14 +232,14 @@
     assert bed.service.tasks.find(asked.id) is None
 
 
-def test_what_is_handed_over_to_a_machine_that_has_gone_is_over_at_once(beds: Any) -> None:
-    # Guards against a task held at a machine of which nothing can come any more: its end was told only when
-    # the machine had been silent for six seconds, and its owner waits for one.
+def test_a_task_handed_over_on_a_removed_machine_ends_at_once(beds: Any) -> None:
+    # Guards against a late end of a task on a machine that is not listed any more: it was reported only after
+    # the machine had been silent for six seconds, but its owner waits for one second.
     bed = beds(accept_all, accept_all)
     owner = Owner(bed)
     place_task(bed, owner)
     ((machine, _),) = bed.machine_messages
-    bed.service.links.get(machine.name).dial("line")  # so that the link is not forgotten at once
+    bed.service.links.get(machine.name).dial("line")  # so that the link is not removed at once
     bed.service.apply_event(decode_event(json.dumps(event(2, machine.row("gone"))).encode()))
     at = bed.handover(machine)
     owner.send(at)
@@ -247,8 +248,8 @@
     assert len([m for m in owner.received(Kind.RELEASE) if m.id == at.id]) == 1
 
 
-def test_a_set_up_with_a_key_that_cannot_be_passed_on_is_refused(beds: Any) -> None:
-    # Guards against a set-up that machines take for one that no owner sent: no page names a parameter for it.
+def test_a_set_up_with_a_key_that_cannot_be_forwarded_is_refused(beds: Any) -> None:
+    # Guards against a repeat that machines can't recognize: their protocol has no parameter for `idem`.
     bed = beds(accept_all)
     owner, asked = Owner(bed), bed.setup()
     asked.fields["idem"] = "0a48f32c31cabec0"
@@ -262,7 +263,7 @@
 
 
 def test_a_caller_that_reads_nothing_keeps_no_descriptor_once_it_is_closed(beds: Any) -> None:
-    # Guards against callers that are closed and never take what was written: each held a descriptor for good.
+    # Guards against leaked descriptors: closed connections whose peers never read kept theirs for ever.
     bed = beds(accept_all)
     bad = Owner(bed)
     bed.run()
@@ -277,9 +278,9 @@
     assert bed.service.owners.count_connections() == 0 and conn.stream.closed
 
 
-def test_an_end_that_comes_before_its_task_is_handed_over_is_told_once(beds: Any) -> None:
-    # Guards against a task held for good: its machine told the end on the connection that another handing
-    # over had opened, nobody knew the task then, and the machine need not tell it again.
+def test_an_end_that_arrives_before_its_task_is_handed_over_is_reported_once(beds: Any) -> None:
+    # Guards against a task that never ends: its machine reported the end on a connection that an earlier
+    # handover had opened, when the task was still unknown, and need not report it again.
     bed = beds(accept_all)
     owner, machine = Owner(bed), bed.machines[0]
     first, second = bed.handover(machine), bed.handover(machine)
--- a/tests/platform/test_placing.py
+++ b/tests/platform/test_placing.py
@@ -1,4 +1,4 @@
-"""The share of a busy process that goes to placing what waits."""
+"""The share of time that a busy process spends on placing queued set-ups."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class BusyLoop:
-    """A loop whose rounds are long, and in which something always lies unread."""
+    """An event loop with long rounds that always has unread data."""
 
     def __init__(self) -> None:
         self.now = 0
@@ -60,7 +60,7 @@
     return len(placed)
 
 
-def test_while_something_lies_unread_reading_has_the_greater_part_and_placing_its_turns() -> None:
-    # Guards against either starving the other.
+def test_with_unread_data_most_time_goes_to_reading_and_the_rest_to_placing() -> None:
+    # Guards against reading or placing starving the other.
     assert 10 <= count_placed_in_a_second(10 * MS, 10 * MS) <= 25
     assert count_placed_in_a_second(200 * MS, 10 * MS) >= 5
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -56,7 +56,7 @@
     assert [row for row in bed.logged if row["event"] == "stopped"]
 
 
-def test_a_process_serves_and_ends_on_sigterm_with_all_that_was_taken_answered(tmp_path: Path) -> None:
+def test_a_process_serves_and_ends_on_sigterm_with_all_set_ups_answered(tmp_path: Path) -> None:
     child, port = start_process(tmp_path)
     assert child.stderr is not None
     assert json.loads(child.stderr.readline())["event"] == "ready"
@@ -68,7 +68,7 @@
         sock.sendall(encode_line(Message(Kind.PING, "0" * 16, 0)))
         assert json.loads(lines.readline())["type"] == "pong"
         (tmp_path / "c.json").write_text("{half")
-        child.send_signal(signal.SIGHUP)  # a file that can't be used changes nothing
+        child.send_signal(signal.SIGHUP)  # an invalid file changes nothing
         for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
             child.send_signal(number)
         sock.sendall(encode_line(Message(Kind.SETUP, "a" * 16, None, "x", fields)))
@@ -88,7 +88,7 @@
         ({"PROXY_LISTEN": "192.0.2.1:1"}, 1, "PROXY_LISTEN"),
     ],
 )
-def test_a_start_that_cannot_be_is_told_in_one_line(
+def test_a_failed_start_is_explained_in_one_line(
     tmp_path: Path, changes: dict[str, str], status: int, said: str
 ) -> None:
     child, _ = start_process(tmp_path, **changes)
@@ -98,10 +98,10 @@
 
 
 def test_a_start_waits_for_a_port_that_its_predecessor_still_holds(tmp_path: Path) -> None:
-    # Guards against a restart that dies of the process before it, which has not quite ended.
+    # Guards against a restart that fails because the previous process has not quite ended.
     with socket.socket() as holder:
         holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        holder.bind((own_host(), 0))  # no caller of other tests is given this address and port
+        holder.bind((own_host(), 0))  # an address and port that no other test uses
         holder.listen()
         child, _ = start_process(tmp_path, PROXY_LISTEN=":".join(map(str, holder.getsockname())))
         assert child.stderr is not None
@@ -114,7 +114,7 @@
 
 
 def test_signals_until_the_last_moment_of_a_stop_end_no_process_by_a_signal(tmp_path: Path) -> None:
-    # Guards against a stop that counts as a crash: the interpreter resets its handlers as it ends.
+    # Guards against a stop that looks like a crash: the interpreter resets signal handlers when it exits.
     child, _ = start_process(tmp_path)
     assert child.stderr is not None
     while "ready" not in child.stderr.readline():
@@ -142,8 +142,8 @@
 """
 
 
-def test_signals_while_a_process_starts_are_kept_until_it_can_act_on_them(tmp_path: Path) -> None:
-    # Guards against a start that a new configuration ends, as it comes while modules are loaded.
+def test_signals_while_a_process_starts_are_kept_until_it_can_handle_them(tmp_path: Path) -> None:
+    # Guards against a SIGHUP that ends a starting process, because it arrives while modules are imported.
     (tmp_path / "sitecustomize.py").write_text(SLOW_IMPORT)
     imports, goes_on = tmp_path / "imports", tmp_path / "goes_on"
     child, _ = start_process(tmp_path, PYTHONPATH=str(tmp_path), IMPORTS=str(imports), GOES_ON=str(goes_on))
--- a/tests/platform/test_setups.py
+++ b/tests/platform/test_setups.py
@@ -1,4 +1,4 @@
-"""Set-ups from owner to machine and back, judged by what crosses the sockets."""
+"""Set-ups from owner to machine and back, checked by the messages that cross the sockets."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests.platform.bed import accept_all, event, ignore_all, place_task, release
 
 
-def test_a_set_up_goes_on_unchanged_and_its_answer_comes_back_unchanged(beds: Any) -> None:
+def test_a_set_up_and_its_answer_are_forwarded_unchanged(beds: Any) -> None:
     bed = beds(accept_all)
     owner = Owner(bed)
     owner.send(Message(Kind.PING, "0" * 16, 0))
@@ -32,8 +32,8 @@
     assert bed.service.tasks.find(asked.id) is None
 
 
-def test_an_owner_that_gives_up_hears_nothing_and_the_machine_is_released(beds: Any) -> None:
-    # Guards the crossing of a give-up and an answer: what the machine started must not stand on.
+def test_an_owner_that_cancels_gets_no_message_and_the_machine_is_released(beds: Any) -> None:
+    # Guards against a task that keeps running: the cancellation crosses the answer of the machine.
     bed = beds(ignore_all)
     owner, asked = Owner(bed), bed.setup()
     owner.send(asked)
@@ -52,13 +52,13 @@
     gone = bed.setup()
     owner.send(gone)
     bed.run(lambda: bed.machines[0].received(Kind.SETUP))
-    owner.stream.abort()  # the same, where the connection ends instead
+    owner.stream.abort()  # the same, but the connection ends instead
     bed.run(lambda: [m.id for m in bed.machines[0].received(Kind.RELEASE)].count(gone.id) == 1)
 
 
 @pytest.mark.parametrize("how", ["reset", "noise", "3 GB", "half", "silence", "47", "41", "16", "99"])
-def test_what_may_have_run_is_failed_and_never_refused(beds: Any, how: str) -> None:
-    # Guards against a refusal, which promises that nothing ran, for an unsafe task that a machine had read.
+def test_a_set_up_that_may_have_run_is_failed_and_never_refused(beds: Any, how: str) -> None:
+    # Guards against refusing an unsafe task that a machine had read: a refusal promises that nothing ran.
     def break_off(conn: MachineConn, message: Message) -> None:
         if message.kind is not Kind.SETUP:
             return
@@ -85,45 +85,45 @@
 
 
 @pytest.mark.parametrize("cause", [34, 102])
-def test_what_never_ran_goes_on_to_the_next_machine(beds: Any, cause: int) -> None:
+def test_a_set_up_that_never_ran_is_sent_to_the_next_machine(beds: Any, cause: int) -> None:
     def full(conn: MachineConn, message: Message) -> None:
         if message.kind is Kind.SETUP:
             conn.send(release(message.id, cause, "no_cores"))
 
     bed = beds(full, full, accept_all)
-    bed.machines[1].die()  # a refused connection proves the same
+    bed.machines[1].die()  # a refused connection shows the same
     owner = Owner(bed)
     for _ in range(6):
         place_task(bed, owner, "bill")
     assert len(bed.machines[2].received(Kind.SETUP)) == 6 and not owner.received(Kind.RELEASE)
 
 
-def test_no_two_attempts_are_out_and_the_module_s_refusal_leaves_at_once(beds: Any) -> None:
+def test_only_one_attempt_is_open_and_the_module_s_refusal_is_sent_at_once(beds: Any) -> None:
     out: set[str] = set()
 
     def full(conn: MachineConn, message: Message) -> None:
         if message.kind is Kind.SETUP:
             assert message.id not in out
             out.add(message.id)
-            bed.loop.call_soon(say_full, conn, message)
+            bed.loop.call_soon(send_full, conn, message)
 
-    def say_full(conn: MachineConn, message: Message) -> None:
+    def send_full(conn: MachineConn, message: Message) -> None:
         out.remove(message.id)
         conn.send(release(message.id, 34, "no_memory"))
 
     bed = beds(full, full, full)
     owner, asked = Owner(bed), bed.setup()
     owner.send(asked)
-    # the clock stands: three refusals are all that may be tried
+    # the clock does not move: three attempts are the maximum
     bed.run(lambda: owner.received(Kind.RELEASE))
     assert owner.received(Kind.RELEASE)[0].cause in NEVER_RAN_CAUSES
     assert sum(len(machine.received(Kind.SETUP)) for machine in bed.machines) == 3
 
 
-@pytest.mark.parametrize("handshake", [0.0, 0.01])  # where it is priced, set-ups share connections
-def test_an_end_told_twice_ends_one_attempt_alone(beds: Any, handshake: float) -> None:
-    # Guards against two attempts out at once: a machine told the end of a first attempt twice, the second
-    # time as the next attempt had come to it over the same connection, and that one passed for ended.
+@pytest.mark.parametrize("handshake", [0.0, 0.01])  # if it has a price, set-ups share connections
+def test_an_end_reported_twice_ends_only_one_attempt(beds: Any, handshake: float) -> None:
+    # Guards against two open attempts: a machine reported the end of the first attempt twice, the second time
+    # when the next attempt was already open on the same connection, which was then taken for ended.
     came: list[MachineConn] = []
 
     def ends_twice(conn: MachineConn, message: Message) -> None:
@@ -145,8 +145,8 @@
     bed.run(lambda: owner.received(Kind.ANSWER))
 
 
-def test_an_attempt_out_of_time_is_given_up_before_the_next_and_its_late_answer_is_ended(beds: Any) -> None:
-    # Guards against two attempts out at once, and against a copy that nobody waits for.
+def test_a_timed_out_attempt_is_given_up_before_the_next_and_its_late_answer_is_released(beds: Any) -> None:
+    # Guards against two open attempts, and against a task that runs although nobody waits for it.
     bed = beds(ignore_all, ignore_all)
     owner, asked = Owner(bed), bed.setup(left=9000)
     owner.send(asked)
@@ -164,7 +164,7 @@
     assert [m.description for m in owner.messages] == [f"runs {asked.id}\r\n"]
 
 
-def test_a_spoilt_answer_ends_one_set_up_and_more_than_belongs_to_it_ends_none(beds: Any) -> None:
+def test_invalid_data_fails_only_the_open_set_up_and_stray_answers_fail_none(beds: Any) -> None:
     def odd(conn: MachineConn, message: Message) -> None:
         if message.kind is Kind.SETUP:
             answer = Message(Kind.ANSWER, message.id, None, f"runs {message.id}")
@@ -182,35 +182,35 @@
     bed.run(lambda: len(bed.machines[0].received(Kind.SETUP)) == 4)
     bed.machines[0].conns[-1].stream.write(b"\xff" * 30)
     bed.run(span_ns=100 * MS)
-    assert {m.id for m in owner.received(Kind.RELEASE)} <= {open_one.id}  # those that stand go on standing
+    assert {m.id for m in owner.received(Kind.RELEASE)} <= {open_one.id}  # running tasks go on
 
 
 @pytest.mark.parametrize("sockets", [48, 256])
-def test_each_set_up_of_a_flood_gets_one_final_answer_in_time_also_without_descriptors(
+def test_each_of_many_set_ups_gets_one_final_answer_in_time_also_without_descriptors(
     beds: Any, sockets: int
 ) -> None:
-    # Guards against set-ups that are lost or answered late when machines say nothing and more is asked than
-    # there are connections to be had.
+    # Guards against set-ups that are lost or answered late when machines don't answer and there are more
+    # set-ups than connections.
     bed = beds(ignore_all, ignore_all, sockets=sockets, handshake=0.08)
     owner = Owner(bed)
     asked = [bed.setup(klass, cores=0.1, memory=0.1) for klass in ("bill", "web") for _ in range(100)]
     owner.send(*asked)
     bed.run(span_ns=1_900 * MS)
     bed.run(span_ns=100 * MS)
-    bed.run(lambda: len(owner.received(Kind.RELEASE)) == len(asked))  # the clock stands at the deadline
+    bed.run(lambda: len(owner.received(Kind.RELEASE)) == len(asked))  # the clock stays at the deadline
     bed.run()
     assert sorted(m.id for m in owner.received(Kind.RELEASE)) == sorted(m.id for m in asked)
     assert not owner.received(Kind.ANSWER) and bed.service.tasks.open_count == 0
 
 
 @pytest.mark.parametrize("meanwhile", ["drain", "given up", "out of time"])
-def test_a_set_up_that_waits_for_its_connection_does_not_leave_when_it_may_no_more(
+def test_a_set_up_that_waits_for_its_connection_is_not_sent_once_it_is_forbidden(
     beds: Any, meanwhile: str
 ) -> None:
     bed = beds(accept_all)
     owner, asked = Owner(bed), bed.setup()
     owner.send(asked)
-    bed.run(lambda: bed.service.links.connection_count)  # dialled, and not up before the loop turns again
+    bed.run(lambda: bed.service.links.connection_count)  # not connected before the next round
     if meanwhile == "drain":
         bed.service.apply_event(decode_event(json.dumps(event(2, bed.machines[0].row("draining"))).encode()))
     elif meanwhile == "given up":
@@ -221,7 +221,7 @@
     assert not bed.machine_messages and bed.service.tasks.open_count == (meanwhile == "drain")
 
 
-def test_the_time_that_a_set_up_lay_unread_is_taken_from_its_time(beds: Any) -> None:
+def test_the_time_that_a_set_up_was_unread_is_taken_from_its_time(beds: Any) -> None:
     # Guards against answers that come too late for their owner, who counts from when the set-up was sent.
     bed = beds(accept_all)
     owner = Owner(bed)
@@ -233,8 +233,8 @@
     assert int(bed.machines[0].received(Kind.SETUP)[1].values[Code.WAIT]) <= 1700
 
 
-def test_long_service_leaves_nothing_behind(beds: Any) -> None:
-    # Guards against growth while ids and connections are always new.
+def test_a_long_run_leaves_nothing_behind(beds: Any) -> None:
+    # Guards against memory that grows because ids and connections are always new.
     def brief(conn: MachineConn, message: Message) -> None:
         if message.kind is Kind.SETUP:
             conn.send(Message(Kind.ANSWER, message.id, None, "runs"), release(message.id, 16))
@@ -253,9 +253,9 @@
     assert bed.service.links.connection_count <= 6 and bed.loop.pending_timers() < 20
 
 
-def test_what_the_module_holds_of_each_machine_is_what_crossed_the_sockets(beds: Any) -> None:
-    # Guards against a view that drifts: an end, a give-up or a crossing that one side counts and the other
-    # does not would fill a machine in the module's eyes for good.
+def test_the_module_s_view_of_each_machine_matches_the_messages_on_the_sockets(beds: Any) -> None:
+    # Guards against a view that drifts: if only one side counts an end, a cancellation or crossing messages,
+    # a machine counts as full for ever.
     def mixed(conn: MachineConn, message: Message) -> None:
         if message.kind is not Kind.SETUP:
             return
--- a/tests/platform/test_soak.py
+++ b/tests/platform/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak, short: seeds that CI plays, and its judge on doctored recordings."""
+"""A short soak: the seeds that CI runs, and the soak's judge on manipulated recordings."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4, 5, 6])
-def test_no_rule_is_broken_by_drawn_faults(seed: int) -> None:
+def test_no_rule_is_broken_by_random_faults(seed: int) -> None:
     faults, count = run_seed(seed)
     assert count > 500 and faults == []
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
-def test_no_end_is_lost_by_drawn_resets(seed: int) -> None:
+def test_no_end_is_lost_by_random_resets(seed: int) -> None:
     faults, count = soak_resets.run_seed(seed)
     assert count > 50 and faults == []
 
@@ -34,7 +34,7 @@
 def test_an_owner_that_was_closed_as_silent_asks_on_a_new_connection(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards against a judge that finds requests lost which the soak's own owner wrote on a closed connection.
+    # Guards against a judge that reports requests as lost which the soak itself wrote on a closed connection.
     monkeypatch.setattr(soak, "STEPS", 0)
     soak_run = SoakRun(tmp_path, 1)
     try:
@@ -109,7 +109,7 @@
         soak_run.bed.close()
 
 
-def test_the_judge_finds_each_fault_in_a_doctored_recording(
+def test_the_judge_finds_each_fault_in_a_manipulated_recording(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(soak, "STEPS", 60)
@@ -118,9 +118,9 @@
         soak_run.run()
         assert soak_run.find_faults() == []
         kept: Any = [list(owner.messages) for owner in (*soak_run.owners, *soak_run.past_owners)]
-        for doctor in (answer_twice, drop_answer, drop_end, run_twice, leave_running, exit_with_error):
-            expected = doctor(soak_run)
-            assert expected in soak_run.find_faults(), doctor.__name__
+        for manipulate in (answer_twice, drop_answer, drop_end, run_twice, leave_running, exit_with_error):
+            expected = manipulate(soak_run)
+            assert expected in soak_run.find_faults(), manipulate.__name__
             for owner, got in zip((*soak_run.owners, *soak_run.past_owners), kept, strict=True):
                 owner.messages = list(got)
     finally:
--- a/tests/platform/test_stop.py
+++ b/tests/platform/test_stop.py
@@ -1,6 +1,6 @@
-"""SIGTERM at every state: the process ends only when nothing is owed and all has left, or its time is up.
+"""SIGTERM in every state: the process ends only when nothing is owed and all is sent, or at its deadline.
 
-`stop` is what the signal calls; the clock is the test's."""
+The signal handler calls `stop`; the tests control the clock."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     return [row for row in bed.logged if row["event"] == "stopped"]
 
 
-def test_tests_that_wait_for_the_start_to_catch_up_are_failed_at_once(beds: Any) -> None:
+def test_pings_that_wait_for_the_start_to_catch_up_are_failed_at_once(beds: Any) -> None:
     bed = beds(accept_all, caught_up=False)
     owner = Owner(bed)
     owner.send(Message(Kind.PING, "0" * 16, 0))
@@ -44,9 +44,9 @@
 
 
 @pytest.mark.parametrize("accepted", [True, False])
-def test_set_ups_unread_when_the_door_closes_are_served(beds: Any, accepted: bool) -> None:
-    # Guards against closing over them: what was written to a connection that the kernel had up is taken, and
-    # a listener that closes resets the connections it has not accepted.
+def test_set_ups_unread_when_the_listener_closes_are_served(beds: Any, accepted: bool) -> None:
+    # Guards against lost set-ups: one written to an established connection counts as received, and closing a
+    # listener resets the connections that it has not accepted.
     bed = beds(accept_all)
     bed.service.stop()
     if accepted:
@@ -65,14 +65,14 @@
     assert get_stopped_events(bed) and owner.closed
 
 
-def test_an_end_that_its_owner_has_not_heard_is_told_before_the_process_ends(beds: Any) -> None:
+def test_an_end_that_its_owner_has_not_confirmed_is_reported_before_the_process_ends(beds: Any) -> None:
     bed = beds(accept_all)
     first, other = Owner(bed, acknowledges=False), Owner(bed, acknowledges=False)
     asked = place_task(bed, first)
     place_task(bed, other)
     bed.service.stop()
     bed.run(span_ns=ACCEPT_AFTER_STOP_NS + 20 * MS)
-    # Nothing is open, so the next look would end it; then a task ends, and its own connection goes.
+    # Nothing is open, so the next check would end it; then a task ends, and its own connection is closed.
     bed.machines[0].conns[0].send(release(asked.id, 16))
     bed.run(lambda: first.received(Kind.RELEASE))
     first.stream.abort()
@@ -84,15 +84,15 @@
     assert get_stopped_events(bed) and get_stopped_events(bed)[0]["ends"] == 0
 
 
-def test_an_end_unread_as_the_process_looks_whether_it_may_end_is_told(beds: Any) -> None:
-    # Guards against ends closed over at the last look, as the process was behind.
+def test_an_end_unread_at_the_last_check_before_the_process_ends_is_reported(beds: Any) -> None:
+    # Guards against ends that are lost because a slow process had not read them at its last check.
     bed = beds(accept_all)
     owner = Owner(bed)
     asked = place_task(bed, owner)
     bed.service.stop()
     bed.run(span_ns=ACCEPT_AFTER_STOP_NS - 20 * MS)
     bed.machines[0].conns[0].send(release(asked.id, 16))
-    bed.service._nothing_owed = True  # the look before found that nothing was owed
+    bed.service._nothing_owed = True  # the check before found nothing owed
     bed.service._check_stopped()
     assert not get_stopped_events(bed)
     bed.run(lambda: owner.received(Kind.RELEASE))
@@ -100,17 +100,17 @@
     assert get_stopped_events(bed)
 
 
-def test_a_set_up_written_after_the_last_look_and_before_the_close_is_answered(
+def test_a_set_up_written_after_the_last_check_and_before_the_close_is_answered(
     beds: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards against closing over a set-up that came while connections to machines were being closed.
+    # Guards against losing a set-up that arrives while connections to machines are being closed.
     bed = beds(accept_all)
     owner, other = Owner(bed), Owner(bed)
     asked = bed.setup()
     bed.service.stop()
     bed.run(span_ns=ACCEPT_AFTER_STOP_NS - 20 * MS)
     bed.service.owners.stop_accepting()
-    bed.service._nothing_owed = True  # the look before found that nothing was owed
+    bed.service._nothing_owed = True  # the check before found nothing owed
 
     def ask_late() -> int:
         owner.send(asked)
@@ -126,27 +126,27 @@
 
 
 @pytest.mark.parametrize("klass", ["web", "bill"])
-def test_what_is_open_when_time_is_up_is_answered_before_sigkill_may_come(beds: Any, klass: str) -> None:
-    # The bound follows from the settings: the longest deadline, taken as 3 s where it is longer.
+def test_open_set_ups_are_answered_before_sigkill_may_come(beds: Any, klass: str) -> None:
+    # The limit follows from the settings: the longest deadline, but at most 3 s.
     bed = beds(ignore_all)
     owner, asked = Owner(bed), bed.setup(klass, left=8000 if klass == "web" else 3000)
     bed.service.stop()
     bed.run(span_ns=600 * MS)
     owner.send(asked)
     bed.run(lambda: bed.machine_messages)
-    begun = bed.clock.now_ns()
+    started_ns = bed.clock.now_ns()
     bed.run(span_ns=BOUND_NS - 600 * MS - STOP_MARGIN_NS - 40 * MS)
     if klass == "web":
         assert not owner.messages and not get_stopped_events(bed)
     bed.run(span_ns=STOP_MARGIN_NS)
-    assert bed.clock.now_ns() - begun < BOUND_NS - 600 * MS
+    assert bed.clock.now_ns() - started_ns < BOUND_NS - 600 * MS
     (told,) = owner.received(Kind.RELEASE)
     assert told.id == asked.id and (told.cause in NEVER_RAN_CAUSES) == (klass == "web")
     assert get_stopped_events(bed) and owner.closed
     assert klass == "bill" or bed.machines[0].received(Kind.RELEASE)
 
 
-def test_output_that_an_owner_has_not_taken_leaves_before_the_process_ends(beds: Any) -> None:
+def test_output_that_an_owner_has_not_read_is_sent_before_the_process_ends(beds: Any) -> None:
     bed = beds(accept_all)
     owner = Owner(bed, acknowledges=False)
     bed.run()
@@ -161,7 +161,7 @@
     owner.stream.pause(False)
     bed.run(span_ns=500 * MS)
     assert get_stopped_events(bed) and get_stopped_events(bed)[0]["unsent"] == 0
-    bed.run(lambda: owner.closed)  # megabytes wait in the kernel, of which a round reads a portion
+    bed.run(lambda: owner.closed)  # megabytes wait in the kernel, and a round reads only a part
     assert owner.received(Kind.PONG) and not owner.reader.pending()
 
 
--- a/tests/platform/test_waited.py
+++ b/tests/platform/test_waited.py
@@ -1,4 +1,4 @@
-"""The time for which a set-up had waited before it was read: charged whole, and nothing beyond it."""
+"""The time that a set-up waited before it was read is subtracted from its time, and nothing more."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 from ladderhub.signalling import Code, Kind, Message
 from tests.platform.bed import MS, START_NS, Bed, MachineConn, Owner, S, accept_all, ignore_all
 
-CALLERS = 300  # several times as many as are accepted in a round
+CALLERS = 300  # several times as many as one round accepts
 LEFT_MS = 3000
 IDLE_ROUNDS = 300
-SLACK_MS = 150  # the deadline passed on may be so far beyond what the client has left
+SLACK_MS = 150  # a deadline sent on may exceed the client's by this
 
 
 def get_sent_deadlines_ms(bed: Bed) -> list[int]:
-    """The deadlines that machines were told."""
+    """The time limits in the set-ups sent to machines."""
     setups = [message for machine in bed.machines for message in machine.received(Kind.SETUP)]
     return [int(message.values[Code.WAIT]) for message in setups]
 
 
-def test_each_caller_is_charged_how_long_it_waited_to_be_accepted(beds: Any) -> None:
-    # Guards against requests answered after their time, as only the first round's callers were charged.
+def test_each_caller_is_charged_the_time_it_waited_to_be_accepted(beds: Any) -> None:
+    # Guards against answers after the deadline, as only the callers of the first round were charged.
     bed = beds(*[ignore_all] * 8, sockets=2048)
     for _ in range(CALLERS):
         Owner(bed).send(bed.setup("bill", left=2000, cores=0.01, memory=0.01))
@@ -34,8 +34,8 @@
     assert max(get_sent_deadlines_ms(bed)) <= 2000 - 700 + SLACK_MS
 
 
-def test_a_caller_is_not_charged_for_a_crowd_that_was_accepted_before_it(beds: Any) -> None:
-    # Guards against set-ups refused over a wait that was others'.
+def test_a_caller_is_not_charged_for_callers_accepted_before_it(beds: Any) -> None:
+    # Guards against set-ups refused because other callers had waited.
     bed = beds(*[accept_all] * 8, sockets=2048)
     for _ in range(CALLERS):
         Owner(bed)
@@ -47,7 +47,7 @@
 
 
 def test_a_first_set_up_is_not_charged_the_time_since_its_caller_connected(beds: Any) -> None:
-    # Guards against set-ups refused at once, since their connection had rested before.
+    # Guards against set-ups refused at once because their connection was idle before.
     bed = beds(accept_all)
     owner = Owner(bed)
     bed.run(span_ns=2 * S)
@@ -56,10 +56,10 @@
     assert owner.received(Kind.ANSWER) and min(get_sent_deadlines_ms(bed)) >= 1500 - SLACK_MS
 
 
-def test_a_first_set_up_is_charged_its_accept_though_the_next_look_takes_long(
+def test_a_first_set_up_is_charged_its_accept_although_the_next_select_takes_long(
     beds: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards against a look that waits for a processor, taken for one that waited for the set-up.
+    # Guards against a `select` that waited for a processor being taken for one that waited for the set-up.
     bed = beds(ignore_all)
     selector = bed.loop._selector
     select = selector.select
@@ -76,10 +76,10 @@
     assert max(get_sent_deadlines_ms(bed)) <= 2000 - 700 + SLACK_MS
 
 
-def test_a_clock_that_moves_as_a_set_up_is_placed_leaves_its_answer_to_the_module(
+def test_a_set_up_is_answered_by_the_module_although_the_clock_advances_while_it_is_placed(
     beds: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards against a pause between two looks at the clock, by which the module takes a deadline for later.
+    # Guards against a pause between two reads of the clock, after which the module assumes a later deadline.
     bed = beds(ignore_all)
     owner, asked = Owner(bed), bed.setup("web", left=500)
     owner.send(asked)
@@ -97,7 +97,7 @@
     assert not [row for row in bed.logged if row["event"] == "unanswered"]
 
 
-def test_a_clock_that_moves_as_a_set_up_is_taken_makes_its_time_no_longer(beds: Any) -> None:
+def test_a_set_up_gets_no_more_time_if_the_clock_advances_while_it_is_accepted(beds: Any) -> None:
     bed = beds(ignore_all)
     tasks = bed.service.tasks
     take = tasks.accept
@@ -116,7 +116,7 @@
 def test_a_real_process_that_stood_still_passes_on_no_more_than_its_callers_have_left(
     process_beds: Any, callers: int
 ) -> None:
-    # Guards against requests answered after their time by a scheduler that a thousand callers wait for.
+    # Guards against answers after the deadline by a scheduler with a thousand waiting callers.
     sent_deadlines_ms: dict[str, list[int]] = {}
 
     def on_message(conn: MachineConn, message: Message) -> None:
@@ -127,12 +127,12 @@
     bed = process_beds(*[on_message] * 40, sockets=8192)
     for _ in range(IDLE_ROUNDS):
         bed.loop.turn(MS)
-    os.kill(bed.child.pid, signal.SIGSTOP)  # within a wait, as it has nothing to do
+    os.kill(bed.child.pid, signal.SIGSTOP)  # while it waits in `select`, as it has nothing to do
     written_s: dict[str, float] = {}
     owners = []
     for _ in range(callers):
         asked = bed.setup(LEFT_MS)
-        asked.fields["class"] = "bill"  # not repeated, so its attempts have all the time that is left
+        asked.fields["class"] = "bill"  # not repeatable, so its attempts get all the time that is left
         owners.append(bed.owner())
         owners[-1].send(asked)
         written_s[asked.id] = time.monotonic()
