--- a/ladderhub/cli/lab.py
+++ b/ladderhub/cli/lab.py
@@ -34,7 +34,7 @@
     click.echo(
         f"{outcome.submitted} submitted, {outcome.acknowledged} acknowledged, {unanswered} not told by qstat"
     )
-    sys.exit(0 if outcome.verdict.good() and not outcome.verdict.unread else 1)
+    sys.exit(0 if outcome.verdict.is_good() and not outcome.verdict.parse_errors else 1)
 
 
 _SEED = click.option("--seed", default=1, show_default=True)
@@ -83,19 +83,19 @@
 
     `views` runs membership.  `revisions` changes the configuration at a rate, and ten times within the last
     second."""
-    from ladderhub.lab.emulator.membership import Verdict, hour
+    from ladderhub.lab.emulator.membership import Verdict, simulate_membership
     from ladderhub.lab.emulator.revision_judge import RevisionVerdict
-    from ladderhub.lab.emulator.revisions import changes
+    from ladderhub.lab.emulator.revisions import simulate_changes
 
     verdict: Verdict | RevisionVerdict
     if what == "views":
-        verdict = hour(schedulers, seed, seconds or 3600, loss, seats)
+        verdict = simulate_membership(schedulers, seed, seconds or 3600, loss, seats)
     else:
-        verdict = changes(schedulers, seed, seconds or 60, rate, loss, calm)
+        verdict = simulate_changes(schedulers, seed, seconds or 60, rate, loss, calm)
     for line in verdict.lines():
         click.echo(line)
-    click.echo("judged good" if verdict.good() else "judged bad")
-    sys.exit(0 if verdict.good() else 1)
+    click.echo("judged good" if verdict.is_good() else "judged bad")
+    sys.exit(0 if verdict.is_good() else 1)
 
 
 @lab.command()
@@ -118,13 +118,13 @@
     for name, result in _run_searches(what, depth, faults, states, schedules, seed):
         for line in result.lines():
             click.echo(f"{name}: {line}")
-        any_broken = any_broken or bool(result.broken)
+        any_broken = any_broken or bool(result.violation)
     click.echo("judged bad" if any_broken else "judged good")
     sys.exit(1 if any_broken else 0)
 
 
 class _SearchResult(Protocol):
-    broken: str
+    violation: str
 
     def lines(self) -> Iterator[str]: ...
 
@@ -136,16 +136,16 @@
     if what == "seats":
         from ladderhub.lab.checker import leases
 
-        yield "exhaustive", leases.exhaustive(depth, faults=faults)
-        yield "random", leases.at_random(schedules, seed)
+        yield "exhaustive", leases.check_exhaustively(depth, faults=faults)
+        yield "random", leases.check_randomly(schedules, seed)
         return
     from ladderhub.lab.checker import ballots
     from ladderhub.lab.checker import schedules as whole_schedulers
 
-    for bounds in ballots.searches(states):
-        yield f"exhaustive, {bounds}", ballots.exhaustive(bounds)
-    yield "random ballots", ballots.at_random(schedules, seed)
-    yield "random, whole schedulers", whole_schedulers.at_random(schedules // 50, seed)
+    for bounds in ballots.get_search_bounds(states):
+        yield f"exhaustive, {bounds}", ballots.check_exhaustively(bounds)
+    yield "random ballots", ballots.check_randomly(schedules, seed)
+    yield "random, whole schedulers", whole_schedulers.check_randomly(schedules // 50, seed)
 
 
 @lab.command()
@@ -159,22 +159,22 @@
     `changes` and `few-changes`, check the revisions of the configuration."""
     import tempfile
 
-    from ladderhub.lab.mesh.change_days import CHANGE_DAYS, draw_changes
+    from ladderhub.lab.mesh.change_days import CHANGE_DAYS, draw_change_day
     from ladderhub.lab.mesh.changes import run_changes
-    from ladderhub.lab.mesh.days import DAYS, draw
+    from ladderhub.lab.mesh.days import DAYS, draw_day
     from ladderhub.lab.mesh.fleet import run_day
     from ladderhub.lab.mesh.judge import Verdict
     from ladderhub.lab.mesh.revision_judge import RevisionVerdict
 
     try:
         if name in CHANGE_DAYS:
-            days = [draw_changes(name, schedulers, seed)]
+            days = [draw_change_day(name, schedulers, seed)]
         else:
-            days = [draw(each, schedulers, seed) for each in (DAYS if name == "all" else [name])]
+            days = [draw_day(each, schedulers, seed) for each in (DAYS if name == "all" else [name])]
     except ValueError as fault:
         raise click.UsageError(str(fault)) from None
     failed_days = []
-    for day in (each for each in days if each.real):
+    for day in (each for each in days if each.can_run_processes):
         with tempfile.TemporaryDirectory() as scratch:
             run_folder = (folder / day.name) if folder is not None else Path(scratch)
             run_folder.mkdir(parents=True, exist_ok=True)
@@ -183,10 +183,10 @@
                 if name in CHANGE_DAYS
                 else run_day(day, run_folder, schedulers, seed)
             )
-        click.echo(f"{day.name}: {day.about}; {schedulers} schedulers, seed {seed}")
+        click.echo(f"{day.name}: {day.description}; {schedulers} schedulers, seed {seed}")
         for line in verdict.lines():
             click.echo(f"  {line}")
-        if not verdict.good():
+        if not verdict.is_good():
             failed_days.append(day.name)
     click.echo(f"judged bad: {', '.join(failed_days)}" if failed_days else "all days judged good")
     sys.exit(1 if failed_days else 0)
@@ -259,7 +259,7 @@
     for line in result.verdict.lines():
         click.echo(line)
     click.echo("the two agree" if result.agree else "the two do NOT agree")
-    sys.exit(0 if result.agree and result.verdict.good() else 1)
+    sys.exit(0 if result.agree and result.verdict.is_good() else 1)
 
 
 @lab.command()
--- a/ladderhub/lab/load.py
+++ b/ladderhub/lab/load.py
@@ -350,7 +350,7 @@
             while begun < count or running:
                 while running < side and begun < count:
                     begin()
-                loop.turn(10 * MS)
+                loop.run_once(10 * MS)
             say(f"{len(jobs)} of {count} acknowledged; settling")
             fleet.run_until(lambda: all(job in told for job in jobs), 60 * S)
             fleet.run_for(1 * S)
@@ -361,5 +361,5 @@
     for job in jobs:
         word = told.get(job, "not told")
         by_qstat[word] = by_qstat.get(word, 0) + 1
-    agree = by_qstat == verdict.answers and verdict.taken == len(jobs) and not failed
+    agree = by_qstat == verdict.answers and verdict.accepted == len(jobs) and not failed
     return Submits(len(jobs), len(failed), verdict.answers, by_qstat, agree, verdict)
--- a/ladderhub/platform/follower.py
+++ b/ladderhub/platform/follower.py
@@ -8,7 +8,7 @@
 from ladderhub.loop.stream import Address, connect
 from ladderhub.platform.report import Report
 from ladderhub.signalling import JournalEvent, JournalReader
-from ladderhub.signalling.journal import EVENT_MOST
+from ladderhub.signalling.journal import MAX_EVENT_BYTES
 
 MS = 1_000_000
 S = 1_000 * MS
@@ -18,7 +18,7 @@
 CHECK_INTERVAL_NS = 100 * MS
 # Pending events are read before each set-up is sent, but no more often than this.
 MIN_READ_INTERVAL_NS = 2 * MS
-MAX_READ_BYTES = EVENT_MOST
+MAX_READ_BYTES = MAX_EVENT_BYTES
 # After connecting, the service sends missed events at once.  If nothing arrived after this many times the
 # duration of connecting, there are none.
 CATCH_UP_WAIT_FACTOR = 4
--- a/ladderhub/platform/ownerconn.py
+++ b/ladderhub/platform/ownerconn.py
@@ -13,14 +13,14 @@
 from ladderhub.platform.task import Task
 from ladderhub.platform.tasks import Tasks
 from ladderhub.signalling import Cause, Kind, LineReader, Message, SignalError, encode_line
-from ladderhub.signalling.table import MESSAGE_MOST
+from ladderhub.signalling.table import MAX_MESSAGE_BYTES
 
 MS = 1_000_000
 # By the protocol a set-up counts as received once its last byte is written, whether it was read or not, and
 # may cross a close for this long.  So after invalid data a connection is read for this long, and every set-up
 # that arrives is failed.
 CLOSE_RACE_NS = 50 * MS
-READ_BYTES = MESSAGE_MOST  # read from one connection at a time
+READ_BYTES = MAX_MESSAGE_BYTES  # read from one connection at a time
 MAX_PENDING_READ_BYTES = 64 * READ_BYTES  # read before a set-up of its owner is sent
 
 
@@ -63,14 +63,16 @@
         self._inbox: deque[Message | SignalError] = deque()  # read and not handled yet
         self.alive = True  # False once it is closed or being closed
         self.reader = LineReader()
-        self.stream = Stream(server.loop, sock, self, read_most=READ_BYTES)
+        self.stream = Stream(server.loop, sock, self, max_read_bytes=READ_BYTES)
         self.peer = self.stream.peer().rpartition(":")[0]
-        if self.stream.unread():
+        if self.stream.has_unread():
             self._unread_since_ns = server.get_waited_since_ns()  # it waited to be accepted
 
     def on_data(self, stream: Stream, data: bytes) -> None:
         self.last_heard_ns = self.server.loop.now_ns()
-        self.earliest_arrival_ns = self._unread_since_ns or self.server.loop.unseen_since_ns(stream.fileno())
+        self.earliest_arrival_ns = self._unread_since_ns or self.server.loop.earliest_arrival_ns(
+            stream.fileno()
+        )
         self._unread_since_ns = self.earliest_arrival_ns if len(data) >= READ_BYTES else 0
         found, end = self.reader.feed(data)
         self._inbox.extend(found)
@@ -174,4 +176,4 @@
     def is_idle(self) -> bool:
         """Whether nothing is open on it and nothing is unread.  A set-up counts as received once it was
         written, so closing with unread data could lose one."""
-        return not self.open_tasks and not self.stream.unread()
+        return not self.open_tasks and not self.stream.has_unread()
--- a/ladderhub/platform/owners.py
+++ b/ladderhub/platform/owners.py
@@ -137,8 +137,8 @@
         conns = [*self._conns, *self._closing]
         return {
             "ends": len(self._unconfirmed) if self._conns else 0,
-            "unsent": sum(conn.stream.unsent() for conn in conns),
-            "unread": sum(conn.stream.unread() for conn in conns),
+            "unsent": sum(conn.stream.has_unsent() for conn in conns),
+            "unread": sum(conn.stream.has_unread() for conn in conns),
         }
 
     def close_idle(self) -> bool:
@@ -269,7 +269,7 @@
             return
         conn.trust = max(conn.trust, Trust.HAD_TASK if request.machine else Trust.VALID_SETUP)
         if known is not None:
-            if request.machine and known.leg.state is State.STANDS:
+            if request.machine and known.leg.state is State.ESTABLISHED:
                 known.owner = conn  # already known: its owner can be reached here from now on
             elif message.id in conn.open_tasks:
                 # Two open set-ups with the same id: their answers could not be told apart.
@@ -306,7 +306,7 @@
         if task is None:
             self._early_ends.add(self.loop.now_ns(), message.id, cause)
             return
-        if task.leg.state is State.STANDS:
+        if task.leg.state is State.ESTABLISHED:
             conn.trust = max(conn.trust, Trust.VALID_MESSAGE)
             self.tasks.end_running(task, cause)
             conn.send(Message(Kind.RELEASED, message.id))
--- a/ladderhub/platform/service.py
+++ b/ladderhub/platform/service.py
@@ -15,7 +15,7 @@
 from ladderhub import interface as api
 from ladderhub.decide import Scheduler
 from ladderhub.loop import Loop
-from ladderhub.loop.listener import ACCEPT_MOST
+from ladderhub.loop.listener import MAX_ACCEPTS_PER_ROUND
 from ladderhub.loop.stream import Address
 from ladderhub.platform.config import OWN_DESCRIPTORS, Config, ConfigError, read_address, load_config
 from ladderhub.platform.follower import JournalFollower
@@ -53,7 +53,7 @@
         machine_limit = config.sockets - owner_limit - OWN_DESCRIPTORS
         # Connections to machines get the rest, and also what owners don't use, less the number of callers
         # that one round may accept: for each accepted caller one connection to a machine is closed.
-        spare = config.sockets - OWN_DESCRIPTORS - ACCEPT_MOST
+        spare = config.sockets - OWN_DESCRIPTORS - MAX_ACCEPTS_PER_ROUND
         self.links = Links(
             loop, report, self.tasks, config.connect_timeout_ns, config.idle_timeout_ns,
             max_connections=lambda: max(machine_limit, spare - self.owners.count_connections()),
@@ -128,7 +128,7 @@
             return
         entries: list[api.MachineEntry] = []
         addresses: list[Address] = []
-        invalid_rows = list(event.spoilt)
+        invalid_rows = list(event.invalid_rows)
         for row in event.rows:
             try:
                 entry, address = self._config.names.to_machine_entry(row), read_address(row.address, row.name)
--- a/ladderhub/platform/tasks.py
+++ b/ladderhub/platform/tasks.py
@@ -101,7 +101,7 @@
     def adopt(self, owner: TaskOwner, request: SetupRequest) -> Task:
         """Take over a task that already runs on a machine."""
         task = self._create_task(owner, request, self._loop.now_ns())  # no answer is waited for
-        task.leg.step(Step.HANDED)
+        task.leg.step(Step.ADOPT)
         task.offer = offer = self._make_offer(task, request.machine, task.until_ns)
         self._dispatch(
             DeferredEvent(lambda now: api.TaskOpen(self._make_request_event(task, now), request.machine))
@@ -142,7 +142,7 @@
 
     def end_running(self, task: Task, cause: int) -> None:
         """Release a running task at its machine because its owner ends it; the machine confirms that."""
-        if task.leg.state is not State.STANDS or task.offer is None:
+        if task.leg.state is not State.ESTABLISHED or task.offer is None:
             return
         self._report.count("owner.ended")
         self._apply_owner_step(task, Step.RELEASE)
@@ -243,7 +243,7 @@
 
     def _move(self, number: int) -> None:
         task = self._by_number.get(number)
-        if task is None or task.leg.state is not State.STANDS or task.offer is None:
+        if task is None or task.leg.state is not State.ESTABLISHED or task.offer is None:
             return
         self._report.count("moved")
         self._apply_owner_step(task, Step.MOVE)
@@ -332,7 +332,7 @@
     def _on_task_end(self, offer: Offer, cause: int, outcome: api.Outcome) -> None:
         """A running task has ended: notify its owner, unless the owner ended it."""
         task = self._find_task(offer)
-        if task is None or task.leg.state is not State.STANDS:
+        if task is None or task.leg.state is not State.ESTABLISHED:
             return
         self._report.count(f"over.{outcome.name.lower()}")
         self._apply_owner_step(task, Step.RELEASE)
--- a/tests/platform/soak.py
+++ b/tests/platform/soak.py
@@ -194,7 +194,7 @@
 
     def _turn(self, rounds: int) -> None:
         for _ in range(rounds):
-            self.bed.loop.turn(MS)
+            self.bed.loop.run_once(MS)
             self._resend_crossed()
 
     def _pause(self) -> None:
--- a/tests/platform/test_placing.py
+++ b/tests/platform/test_placing.py
@@ -27,7 +27,7 @@
     def call_soon(self, call: Callable[[], object]) -> None:
         self.calls.append(call)
 
-    def turn(self, span_ns: int) -> None:
+    def run_once(self, span_ns: int) -> None:
         self.now += span_ns
         calls, self.calls = self.calls, []
         for call in calls:
@@ -56,7 +56,7 @@
         each: Any = FakeSetup(number)
         assert placing.add(each)
     while loop.now < S:
-        loop.turn(round_ns)
+        loop.run_once(round_ns)
     return len(placed)
 
 
