--- a/ladderhub/platform/config.py
+++ b/ladderhub/platform/config.py
@@ -72,6 +72,7 @@
 
 
 def read_address(text: str, where: str) -> Address:
+    """Parse HOST:PORT; ConfigError names the place that it was read from."""
     try:
         return parse_address(text)
     except ValueError as fault:
--- a/ladderhub/platform/follower.py
+++ b/ladderhub/platform/follower.py
@@ -25,6 +25,8 @@
 
 
 class _Conn:
+    """One connection to the journal service."""
+
     def __init__(self, follower: JournalFollower, address: Address) -> None:
         self.follower = follower
         self.reader = JournalReader(follower.pos)
@@ -43,9 +45,8 @@
     def on_data(self, stream: Stream, data: bytes) -> None:
         self.last_heard_ns = self.follower.loop.now_ns()
         events, fault = self.reader.feed(data)
-        self.has_received = (
-            self.has_received or fault is None
-        )  # not after invalid data only: it would be requested again without a pause
+        # Not set by invalid data alone: it would be requested again and again without a pause.
+        self.has_received = self.has_received or fault is None
         for event in events:
             self.follower.handle_event(event)
         if not self.reader.pending():
@@ -79,6 +80,7 @@
         report.gauges["journal"] = lambda: self.pos
 
     def start(self) -> None:
+        """Connect to the service."""
         self._started_ns = self.loop.now_ns()
         # If the service can't be reached, the scheduler still serves, with the list that it has.
         self.loop.call_later(self.connect_timeout_ns, self.mark_caught_up)
@@ -119,11 +121,13 @@
                 conn.stream.read_now(MAX_READ_BYTES)
 
     def handle_event(self, event: JournalEvent) -> None:
+        """Pass an event on, unless it was already received."""
         if event.pos > self.pos:
             self.pos = event.pos
             self._on_event(event)
 
     def on_closed(self, conn: _Conn, fault: BaseException | None) -> None:
+        """Reconnect if this was the current connection."""
         if conn in self._old_conns:
             self._old_conns.remove(conn)
         if conn is self._conn:
--- a/ladderhub/platform/ownerconn.py
+++ b/ladderhub/platform/ownerconn.py
@@ -158,6 +158,7 @@
         self.server.resend_lost(self)
 
     def send(self, message: Message) -> None:
+        """Send a message unless it is closed; an answer or release ends the open set-up."""
         if message.kind in (Kind.ANSWER, Kind.RELEASE):
             self.open_tasks.pop(message.id, None)
             if message.kind is Kind.ANSWER and self.alive:
--- a/ladderhub/platform/owners.py
+++ b/ladderhub/platform/owners.py
@@ -158,18 +158,21 @@
             conn.stream.close()
 
     def on_activity(self, conn: OwnerConn) -> None:
+        """It sent something, or its trust has changed."""
         self._eviction_order.update(conn, conn.trust)
 
     def remove_conn(self, conn: OwnerConn) -> None:
+        """Nothing more is accepted from it."""
         self._conns.pop(conn, None)
         self._eviction_order.remove(conn)
 
     def on_closing(self, conn: OwnerConn) -> None:
-        """Nothing more is accepted from it, but it may still have unsent data."""
+        """It is being closed, but may still have unsent data."""
         if not conn.stream.closed:
             self._closing[conn] = self.loop.now_ns()
 
     def on_closed(self, conn: OwnerConn) -> None:
+        """Its descriptor is closed."""
         self._closing.pop(conn, None)
 
     # --- connections --------------------------------------------------------------------------------------
@@ -246,6 +249,7 @@
     # --- messages -----------------------------------------------------------------------------------------
 
     def on_message(self, conn: OwnerConn, message: Message) -> None:
+        """Handle a valid message of an owner."""
         self.report.count(f"heard.{message.kind.name.lower()}")
         if message.kind is Kind.PING:
             conn.trust = max(conn.trust, Trust.VALID_MESSAGE)
--- a/ladderhub/platform/report.py
+++ b/ladderhub/platform/report.py
@@ -31,6 +31,7 @@
         self._line_counts: Counter[str] = Counter()
 
     def count(self, what: str, amount: int = 1) -> None:
+        """Add to a counter of the current second."""
         self.counts[what] += amount
 
     def line(self, event: str, **fields: object) -> None:
--- a/ladderhub/platform/service.py
+++ b/ladderhub/platform/service.py
@@ -17,7 +17,7 @@
 from ladderhub.loop import Loop
 from ladderhub.loop.listener import MAX_ACCEPTS_PER_ROUND
 from ladderhub.loop.stream import Address
-from ladderhub.platform.config import OWN_DESCRIPTORS, Config, ConfigError, read_address, load_config
+from ladderhub.platform.config import OWN_DESCRIPTORS, Config, ConfigError, load_config, read_address
 from ladderhub.platform.follower import JournalFollower
 from ladderhub.platform.links import Links
 from ladderhub.platform.owners import OwnerServer
--- a/ladderhub/platform/tasks.py
+++ b/ladderhub/platform/tasks.py
@@ -19,7 +19,7 @@
 from ladderhub.platform.mapping import to_outcome, to_reason, to_topic
 from ladderhub.platform.placing import Placer
 from ladderhub.platform.report import Report
-from ladderhub.platform.task import SetupRequest, TaskOwner, Task
+from ladderhub.platform.task import SetupRequest, Task, TaskOwner
 from ladderhub.signalling import Cause, Code, Kind, Message, State, Step
 
 MS = 1_000_000
@@ -67,6 +67,7 @@
         report.gauges["attempts_out"] = lambda: sum(1 for t in self._by_number.values() if t.offer)
 
     def set_links(self, links: Links) -> None:
+        """Set the links to machines, which need this object to be created."""
         self._links = links
 
     def _on_fault(self, event: object, fault: Exception) -> None:
@@ -76,6 +77,7 @@
     # --- owners' messages ---------------------------------------------------------------------------------
 
     def find(self, id: str) -> Task | None:
+        """The open or running task with this id."""
         return self._by_id.get(id)
 
     def accept(self, owner: TaskOwner, request: SetupRequest, until_ns: int) -> Task:
@@ -203,6 +205,7 @@
     # --- the module's actions -----------------------------------------------------------------------------
 
     def execute(self, now: int, action: api.Action) -> None:
+        """Execute one action of the decision module."""
         match action:
             case api.SetTimer(at, timer):
                 self._loop.call_at(at, self._dispatch, api.TimerFired(timer))
@@ -275,7 +278,7 @@
         task.owner.read_pending()
         self.read_journal()
         if self._find_task(offer) is task and offer is not self._sending:
-            # The module decided this earlier and may have to cancel it now: ask it again.
+            # The module decided this a while ago, and may forbid the attempt by now.
             self._dispatch(api.AttemptLeaving(offer.number, offer.attempt))
         return self._find_task(offer) is task
 
@@ -362,4 +365,5 @@
         )
 
     def report_machine_list(self, event: api.MachineList) -> None:
+        """Tell the module of changes of the machine list."""
         self._dispatch(event)
--- a/tests/platform/bed.py
+++ b/tests/platform/bed.py
@@ -226,9 +226,8 @@
         self.environment = {"PROXY_NAME": "n0", "PROXY_CONFIG": str(self.path)}
         self.path.write_text(json.dumps(self.file))
         report = Report(self.clock.now_ns, lambda data: self.logged.append(json.loads(data)))
-        config = replace(
-            load_config(self.environment), listen=(own_host(), 0)
-        )  # any free port: no file may say so
+        # Any free port; a configuration file can't ask for that.
+        config = replace(load_config(self.environment), listen=(own_host(), 0))
         self.service = Service(self.loop, config, report)
         self.service.start()
         while caught_up and not self.service.follower.caught_up:
--- a/tests/platform/process_bed.py
+++ b/tests/platform/process_bed.py
@@ -79,7 +79,7 @@
             if until():
                 return
             self.loop.run_once(2 * MS)
-        raise AssertionError(f"did not come about; log: {self.read_log()[-2000:]}")
+        raise AssertionError(f"the condition was not reached; log: {self.read_log()[-2000:]}")
 
     def setup(self, left_ms: int = 8000) -> Message:
         """A set-up with a new id."""
--- a/tests/platform/soak.py
+++ b/tests/platform/soak.py
@@ -25,7 +25,7 @@
 MAX_BURST, CROWD = 12, 250
 RELEASE_TIMEOUT_NS = S  # a machine must be told within this time that an owner ended its task
 CLOSE_RACE_NS = 50 * MS  # by the protocol a set-up and a close may cross for this long
-FULL, ERROR, CUT, DONE = 34, 47, 41, 16
+FULL, ERROR, BROKEN, DONE = 34, 47, 41, 16  # causes of releases
 
 
 @dataclass
@@ -62,8 +62,8 @@
 
     def find_crossed(self, withdrawn: Callable[[str], bool]) -> list[str]:
         """Set-ups that crossed the close of their connection, if no older one was open on it."""
-        told = {message.id for message in self.messages}
-        unanswered = [id for id in self.sent_ns if id not in told and not withdrawn(id)]
+        answered = {message.id for message in self.messages}
+        unanswered = [id for id in self.sent_ns if id not in answered and not withdrawn(id)]
         open_ = {id: self.sent_ns[id] for id in unanswered}
         if not self.closed or any(at_ns < self.closed_ns - CLOSE_RACE_NS for at_ns in open_.values()):
             return []
@@ -126,7 +126,7 @@
         for id, (where, _) in list(self.running.items()):
             if where is machine:
                 del self.running[id]
-        self._turn(self.rng.randrange(1, 60))
+        self._run_rounds(self.rng.randrange(1, 60))
         machine.listener = Listener(self.bed.loop, address, machine._accept)
 
     # --- owners -------------------------------------------------------------------------------------------
@@ -192,7 +192,7 @@
 
     # --- the run ------------------------------------------------------------------------------------------
 
-    def _turn(self, rounds: int) -> None:
+    def _run_rounds(self, rounds: int) -> None:
         for _ in range(rounds):
             self.bed.loop.run_once(MS)
             self._resend_crossed()
@@ -201,7 +201,7 @@
         child = self.bed.child
         self.note("pause")
         child.send_signal(signal.SIGSTOP)
-        self._turn(self.rng.randrange(1, 150))
+        self._run_rounds(self.rng.randrange(1, 150))
         child.send_signal(signal.SIGCONT)
         self.note("goes on")
 
@@ -226,7 +226,7 @@
             self._pause()
         elif what < 0.94:
             self._send_setups(owner, CROWD)
-        self._turn(self.rng.randrange(1, 12))
+        self._run_rounds(self.rng.randrange(1, 12))
 
     def run(self) -> None:
         """Run all steps, then terminate the process."""
@@ -234,7 +234,7 @@
             self._step()
         for name in self.modes:
             self.modes[name] = "yes"
-        self._turn(50)
+        self._run_rounds(50)
         self.terminate()
 
     def terminate(self) -> None:
@@ -244,25 +244,25 @@
         self.bed.child.send_signal(signal.SIGTERM)
         for _ in range(10):
             self._send_setups(self.rng.choice(self.owners), 3)
-            self._turn(20)
+            self._run_rounds(20)
         self.bed.run(lambda: self.bed.child.poll() is not None)
-        self._turn(50)
+        self._run_rounds(50)
 
     def save(self, folder: Path, found: list[str]) -> None:
         """Write the log of the process, and the messages of each owner and of the machines, to files."""
         folder.mkdir(parents=True)
         (folder / "faults").write_text("\n".join(found) + "\n")
         (folder / "log").write_text(self.bed.read_log())
-        heard = [
+        received = [
             f"{machine.name} {message.kind.name} {message.id}"
             for machine, message in self.bed.machine_messages
         ]
-        (folder / "machines").write_text("\n".join(heard) + "\n")
+        (folder / "machines").write_text("\n".join(received) + "\n")
         owners = enumerate([*self.owners, *self.past_owners])
-        got = [f"{at} {m.kind.name} {m.id} {m.cause}" for at, owner in owners for m in owner.messages]
-        (folder / "owners").write_text("\n".join(got) + "\n")
-        told = [f"{each}" for each in self.records.values()]
-        (folder / "records").write_text("\n".join(told) + "\n")
+        messages = [f"{at} {m.kind.name} {m.id} {m.cause}" for at, owner in owners for m in owner.messages]
+        (folder / "owners").write_text("\n".join(messages) + "\n")
+        records = [f"{each}" for each in self.records.values()]
+        (folder / "records").write_text("\n".join(records) + "\n")
         (folder / "asked").write_text("".join(self._format_sent_rows()))
         (folder / "trace").write_text("\n".join(self.trace) + "\n")
 
@@ -302,9 +302,9 @@
             if not record.withdrawn and not answered[record.id] and not released[record.id]:
                 found.append(f"{record.id}: no answer")
             if record.ended and answered[record.id] and not record.withdrawn and not released[record.id]:
-                found.append(f"{record.id}: its end was not told")
+                found.append(f"{record.id}: its end was not reported")
             if answered[record.id] and self._is_left_running(record):
-                found.append(f"{record.id}: its owner ended it, and it stands")
+                found.append(f"{record.id}: its owner ended it, and it still runs")
             if record.unsafe and len(record.accepted) > 1:
                 found.append(f"{record.id}: ran at {record.accepted}")
         own_faults = ('"trouble"', '"unanswered"')
--- a/tests/platform/soak_resets.py
+++ b/tests/platform/soak_resets.py
@@ -10,7 +10,7 @@
 import tempfile
 from pathlib import Path
 
-from tests.platform.soak import SoakRun, run_and_judge, main
+from tests.platform.soak import SoakRun, main, run_and_judge
 
 STEPS = 40
 ENDS_WHILE_PAUSED, ENDS_WHILE_RUNNING = 15, 30
@@ -27,7 +27,7 @@
         for name in self.modes:
             self.modes[name] = "yes"
         self.rng.choice((self._reset_while_paused, self._reset_between_ends))()
-        self._turn(SETTLE_ROUNDS)
+        self._run_rounds(SETTLE_ROUNDS)
         self.terminate()
 
     def _reset_while_paused(self) -> None:
@@ -35,11 +35,11 @@
         os.kill(self.bed.child.pid, signal.SIGSTOP)
         for _ in range(ENDS_WHILE_PAUSED):
             self._end_task()
-        self._turn(self.rng.randrange(1, 30))
+        self._run_rounds(self.rng.randrange(1, 30))
         conns = [conn for machine in self.bed.machines for conn in machine.conns]
         for conn in self.rng.sample(conns, len(conns) // 2):
             conn.reset()
-        self._turn(self.rng.randrange(1, 30))
+        self._run_rounds(self.rng.randrange(1, 30))
         os.kill(self.bed.child.pid, signal.SIGCONT)
 
     def _reset_between_ends(self) -> None:
@@ -51,7 +51,7 @@
             machine = self.rng.choice(self.bed.machines)
             if self.rng.random() < FAULT_PROBABILITY and machine.conns:
                 self.rng.choice(machine.conns).reset()
-            self._turn(self.rng.randrange(0, 4))
+            self._run_rounds(self.rng.randrange(0, 4))
 
 
 def run_seed(seed: int) -> tuple[list[str], int]:
--- a/tests/platform/soak_service.py
+++ b/tests/platform/soak_service.py
@@ -18,7 +18,7 @@
 from ladderhub.signalling.table import TEST_ASKED
 from tests.platform.bed import MS, Machine, MachineConn, release
 from tests.platform.process_bed import ProcessBed
-from tests.platform.soak import DONE, MACHINES, SoakRun, SoakOwner, run_and_judge, main
+from tests.platform.soak import DONE, MACHINES, SoakOwner, SoakRun, main, run_and_judge
 from tests.platform.soak_journal import MAX_EVENT_DELAY_NS, SoakJournal
 
 STEPS = 120
@@ -81,10 +81,10 @@
             self.late_setups.append(f"{message.id}: sent to {conn.machine.name} {late_ms} ms past its grace")
         super()._on_message(conn, message)
 
-    def _turn(self, rounds: int) -> None:
+    def _run_rounds(self, rounds: int) -> None:
         for _ in range(rounds):
             self.round_starts_ns.append(self.bed.loop.now_ns())
-            super()._turn(1)
+            super()._run_rounds(1)
 
     def _change_stage(self) -> None:
         """Announce that a machine drains, or that it accepts tasks again."""
@@ -137,7 +137,7 @@
         write(whole[: len(whole) // 2] if kind == "half" else whole)
         self.note(f"SIGHUP, file {kind}")
         self.bed.child.send_signal(signal.SIGHUP)
-        self._turn(self.service_rng.randrange(1, 60))
+        self._run_rounds(self.service_rng.randrange(1, 60))
         write(whole)
 
     def _replace_config(self, text: str) -> int:
@@ -221,7 +221,7 @@
     def _accept_everywhere(self) -> None:
         for name in self.modes:
             self.modes[name] = "yes"
-        self._turn(50)
+        self._run_rounds(50)
 
     def _restart(self) -> None:
         """A planned restart: the successor waits for the address while its predecessor ends."""
@@ -231,9 +231,9 @@
         self._terminate_process()
         self.bed.run(self.bed.is_ready)
         self._wait_for_pong()
-        self._turn(RESTART_ROUNDS)
+        self._run_rounds(RESTART_ROUNDS)
         self._hand_over()
-        self._turn(RESTART_ROUNDS)
+        self._run_rounds(RESTART_ROUNDS)
 
     def _write_known(self) -> None:
         """Write all events so far to the file, as before a start."""
@@ -251,7 +251,7 @@
 
     def terminate(self) -> None:
         self._terminate_process()
-        self._turn(50)
+        self._run_rounds(50)
 
     def get_statuses(self) -> list[int | None]:
         return [each.returncode for each in self.bed.children if each.pid not in self.killed_pids]
@@ -259,10 +259,10 @@
     def _terminate_process(self) -> None:
         """Send SIGTERM, more signals, and SIGKILL as early as allowed; owners send set-ups until the end."""
         ending = self.bed.child
-        begun_ns = self.terminated_ns = self.bed.loop.now_ns()
+        started_ns = self.terminated_ns = self.bed.loop.now_ns()
         self.note("SIGTERM")
         ending.send_signal(signal.SIGTERM)
-        while (passed_ms := (self.bed.loop.now_ns() - begun_ns) // MS) < KILL_AFTER_MS:
+        while (passed_ms := (self.bed.loop.now_ns() - started_ns) // MS) < KILL_AFTER_MS:
             if ending.poll() is not None:
                 break
             owner = self.rng.choice(self.owners)
@@ -277,12 +277,12 @@
                 self._pause()
             elif what < 0.3 and passed_ms < ACCEPT_AFTER_STOP_MS - 200:
                 self._end_task()
-            self._turn(self.service_rng.randrange(5, 30))
+            self._run_rounds(self.service_rng.randrange(5, 30))
         if ending.poll() is None:
             ending.kill()
             ending.wait()
             self.killed_pids.append(ending.pid)
-        self._turn(100)
+        self._run_rounds(100)
 
     def find_faults(self) -> list[str]:
         return [*super().find_faults(), *self.late_setups]
--- a/tests/platform/test_owners.py
+++ b/tests/platform/test_owners.py
@@ -37,12 +37,12 @@
 
 def test_an_unconfirmed_end_is_reported_again_elsewhere_but_not_for_ever(beds: Any) -> None:
     bed = beds(accept_all)
-    deaf, other = Owner(bed, acknowledges=False), Owner(bed)
-    asked = place_task(bed, deaf)
+    first, other = Owner(bed, acknowledges=False), Owner(bed)
+    asked = place_task(bed, first)
     other.send(Message(Kind.PING, "0" * 16, 0))
     bed.machines[0].conns[0].send(release(asked.id, 16))
     bed.run(span_ns=10 * S)
-    assert len(deaf.received(Kind.RELEASE)) == len(other.received(Kind.RELEASE)) == 1
+    assert len(first.received(Kind.RELEASE)) == len(other.received(Kind.RELEASE)) == 1
 
 
 def test_every_complete_set_up_gets_one_answer_also_before_and_after_garbage(beds: Any) -> None:
@@ -152,14 +152,14 @@
     good = Owner(bed)
     asked = place_task(bed, good)
     for _ in range(40):
-        stranger = Owner(bed)
-        stranger.send(Message(Kind.PING, "0" * 16, 0))
-        bed.run(lambda stranger=stranger: stranger.received(Kind.PONG), span_ns=0)
+        caller = Owner(bed)
+        caller.send(Message(Kind.PING, "0" * 16, 0))
+        bed.run(lambda caller=caller: caller.received(Kind.PONG), span_ns=0)
     assert not good.closed
     other = Owner(bed, source="127.0.0.2")
     place_task(bed, other)
-    stranger = Owner(bed)  # has the first owner's address, and was heard last
-    stranger.send(Message(Kind.PING, "0" * 16, 0))
+    caller = Owner(bed)  # has the first owner's address, and was heard last
+    caller.send(Message(Kind.PING, "0" * 16, 0))
     good.stream.abort()
     bed.run()
     bed.machines[0].conns[0].send(release(asked.id, 16))
--- a/tests/platform/test_setups.py
+++ b/tests/platform/test_setups.py
@@ -59,7 +59,7 @@
 @pytest.mark.parametrize("how", ["reset", "noise", "3 GB", "half", "silence", "47", "41", "16", "99"])
 def test_a_set_up_that_may_have_run_is_failed_and_never_refused(beds: Any, how: str) -> None:
     # Guards against refusing an unsafe task that a machine had read: a refusal promises that nothing ran.
-    def break_off(conn: MachineConn, message: Message) -> None:
+    def break_connection(conn: MachineConn, message: Message) -> None:
         if message.kind is not Kind.SETUP:
             return
         if how == "reset":
@@ -75,7 +75,7 @@
         elif how != "silence":
             conn.send(release(message.id, int(how)))
 
-    bed = beds(break_off, break_off)
+    bed = beds(break_connection, break_connection)
     owner, asked = Owner(bed), bed.setup("bill")
     owner.send(asked)
     bed.run(lambda: bed.machine_messages)
@@ -277,23 +277,25 @@
     bed.run(span_ns=500 * MS)
     owner.send(*(Message(Kind.RELEASE, m.id, 16) for m in asked if int(m.id, 16) % 7 == 5))
     bed.run(span_ns=6 * S)
-    stands: dict[str, set[str]] = {}
+    running: dict[str, set[str]] = {}
     for machine in bed.machines:
-        yes_to = {m.id for m in machine.received(Kind.SETUP) if int(m.id, 16) % 7 in (5, 6)}
-        stands[machine.name] = yes_to
+        accepted = {m.id for m in machine.received(Kind.SETUP) if int(m.id, 16) % 7 in (5, 6)}
+        running[machine.name] = accepted
         ended = {m.id for m in machine.received(Kind.RELEASE)}
-        for id in sorted(yes_to & ended):
+        for id in sorted(accepted & ended):
             (machine.conns[0]).send(release(id, 31))
-            stands[machine.name].discard(id)
+            running[machine.name].discard(id)
     bed.run(span_ns=S)
     module = bed.module()
     for machine in bed.machines:
         view, link = module.fleet.machines[machine.name], bed.service.links.get(machine.name)
-        assert link is not None and set(link.running) == stands[machine.name]
-        assert round(view.requested.own[0]) == sum(view.active_services.values()) == len(stands[machine.name])
+        assert link is not None and set(link.running) == running[machine.name]
+        assert (
+            round(view.requested.own[0]) == sum(view.active_services.values()) == len(running[machine.name])
+        )
         assert not view.start_queue
     assert (
-        sum(map(len, stands.values())) == 6 and len(module.tasks) == 6 and bed.service.tasks.open_count == 0
+        sum(map(len, running.values())) == 6 and len(module.tasks) == 6 and bed.service.tasks.open_count == 0
     )
 
 
--- a/tests/platform/test_soak.py
+++ b/tests/platform/test_soak.py
@@ -63,12 +63,12 @@
 
 
 def drop_end(soak_run: SoakRun) -> str:
-    told = [m.id for owner in soak_run.owners for m in owner.received(Kind.ANSWER)]
-    record = next(r for r in soak_run.records.values() if r.id in told and not r.withdrawn)
+    answered = [m.id for owner in soak_run.owners for m in owner.received(Kind.ANSWER)]
+    record = next(r for r in soak_run.records.values() if r.id in answered and not r.withdrawn)
     record.ended = True
     for owner in [*soak_run.owners, *soak_run.past_owners]:
         owner.messages = [m for m in owner.messages if (m.id, m.kind) != (record.id, Kind.RELEASE)]
-    return f"{record.id}: its end was not told"
+    return f"{record.id}: its end was not reported"
 
 
 def run_twice(soak_run: SoakRun) -> str:
@@ -78,11 +78,11 @@
 
 
 def leave_running(soak_run: SoakRun) -> str:
-    told = [m.id for owner in soak_run.owners for m in owner.received(Kind.ANSWER)]
-    record = next(r for r in soak_run.records.values() if r.id in told and len(r.accepted) == 1)
+    answered = [m.id for owner in soak_run.owners for m in owner.received(Kind.ANSWER)]
+    record = next(r for r in soak_run.records.values() if r.id in answered and len(r.accepted) == 1)
     record.withdrawn, record.cancelled_ns = True, soak_run.terminated_ns - 2 * soak.RELEASE_TIMEOUT_NS
     soak_run.running[record.id] = (soak_run.bed.machines[0], MachineConn.__new__(MachineConn))
-    return f"{record.id}: its owner ended it, and it stands"
+    return f"{record.id}: its owner ended it, and it still runs"
 
 
 def exit_with_error(soak_run: SoakRun) -> str:
@@ -96,15 +96,15 @@
         owner = soak_run.owners[0]
         soak_run._send_setups(owner, 1)
         soak_run.bed.run(lambda: owner.messages)
-        heard = next(machine for machine in soak_run.bed.machines if machine.received(Kind.SETUP))
-        conn, message = heard.conns[0], heard.received(Kind.SETUP)[0]
-        soak_run._turn(soak_service.RECEIVE_ROUNDS)
-        soak_run.forbidden_after_ns[heard.name] = soak_run.round_starts_ns[0] + 1
+        receiver = next(machine for machine in soak_run.bed.machines if machine.received(Kind.SETUP))
+        conn, message = receiver.conns[0], receiver.received(Kind.SETUP)[0]
+        soak_run._run_rounds(soak_service.RECEIVE_ROUNDS)
+        soak_run.forbidden_after_ns[receiver.name] = soak_run.round_starts_ns[0] + 1
         soak_run._on_message(conn, message)
         assert not soak_run.late_setups
-        soak_run.forbidden_after_ns[heard.name] = soak_run.round_starts_ns[0] - soak_service.TOLERANCE_NS
+        soak_run.forbidden_after_ns[receiver.name] = soak_run.round_starts_ns[0] - soak_service.TOLERANCE_NS
         soak_run._on_message(conn, message)
-        assert f"{message.id}: sent to {heard.name} 50 ms past its grace" in soak_run.find_faults()
+        assert f"{message.id}: sent to {receiver.name} 50 ms past its grace" in soak_run.find_faults()
     finally:
         soak_run.bed.close()
 
--- a/tests/platform/test_stop.py
+++ b/tests/platform/test_stop.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from ladderhub.platform.service import ACCEPT_AFTER_STOP_NS, STOP_MARGIN_NS, MAX_STOP_NS
+from ladderhub.platform.service import ACCEPT_AFTER_STOP_NS, MAX_STOP_NS, STOP_MARGIN_NS
 from ladderhub.signalling import Kind, Message, encode_line
 from tests.platform.bed import (
     MS,
@@ -23,9 +23,8 @@
     release,
 )
 
-BOUND_NS = (
-    ACCEPT_AFTER_STOP_NS + MAX_STOP_NS
-)  # SIGKILL comes no sooner; the settings' longest deadline is longer
+# SIGKILL comes no sooner; the settings' longest deadline is longer than MAX_STOP_NS.
+BOUND_NS = ACCEPT_AFTER_STOP_NS + MAX_STOP_NS
 
 
 def get_stopped_events(bed: Bed) -> list[dict[str, Any]]:
--- a/tests/platform/test_waited.py
+++ b/tests/platform/test_waited.py
@@ -139,14 +139,14 @@
     until_s = time.monotonic() + 1
     while time.monotonic() < until_s:
         bed.loop.run_once(MS)
-    woken_s = time.monotonic()
+    resumed_s = time.monotonic()
     os.kill(bed.child.pid, signal.SIGCONT)
     bed.run(lambda: all(owner.messages for owner in owners))
     assert all(owner.received(Kind.ANSWER) for owner in owners)
     finals = [owner.received(Kind.ANSWER) + owner.received(Kind.RELEASE) for owner in owners]
     assert all(len(each) == 1 for each in finals) and not any(owner.closed for owner in owners)
     assert sent_deadlines_ms
-    left_ms = {id: LEFT_MS - (woken_s - written_s[id]) * 1000 for id in sent_deadlines_ms}
+    left_ms = {id: LEFT_MS - (resumed_s - written_s[id]) * 1000 for id in sent_deadlines_ms}
     assert not {
         id: sent_deadlines
         for id, sent_deadlines in sent_deadlines_ms.items()
