--- a/ladderhub/platform/service.py
+++ b/ladderhub/platform/service.py
@@ -39,7 +39,7 @@
 RETRY_INTERVAL_NS = 100 * MS
 BIND_TIMEOUT_NS = 20 * S
 RELOAD_TIMEOUT_NS = 2 * S
-# Owners hold a third of the descriptors at most; half of them leaves room for unknown callers.
+# Owners need a third of the descriptors at most; a limit of half of them leaves room for other callers.
 OWNER_CONNECTIONS_DIVISOR = 2
 
 
