--- a/tests/platform/test_owners.py
+++ b/tests/platform/test_owners.py
@@ -249,8 +249,8 @@
 
 
 def test_a_set_up_with_a_key_that_cannot_be_forwarded_is_refused(beds: Any) -> None:
-    # Guards against a set-up that machines count as one that no owner sent: the protocol has no parameter with
-    # which `idem` could be forwarded.
+    # Guards against a set-up that machines count as one that no owner sent: the protocol has no parameter to
+    # forward `idem`.
     bed = beds(accept_all)
     owner, asked = Owner(bed), bed.setup()
     asked.fields["idem"] = "0a48f32c31cabec0"
