--- a/ladderhub/platform/ownerconn.py
+++ b/ladderhub/platform/ownerconn.py
@@ -1,4 +1,4 @@
-"""One connection of an owner: what was read on it, which of its set-ups are open, and how it is closed."""
+"""One connection of an owner: its incoming messages, its open set-ups, and how it is closed."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from ladderhub.loop import Loop, Stream
 from ladderhub.platform.eviction import Trust
-from ladderhub.platform.reading import is_handover
+from ladderhub.platform.setup_parser import is_handover
 from ladderhub.platform.report import Report
 from ladderhub.platform.task import Task
 from ladderhub.platform.tasks import Tasks
@@ -16,161 +16,165 @@
 from ladderhub.signalling.table import MAX_MESSAGE_BYTES
 
 MS = 1_000_000
-# A set-up counts as taken once its last byte is written, read or not.  So after what can't be used a
-# connection is still read for as long as a set-up may cross its close, and each is told that it failed.
-CROSSING_NS = 50 * MS
-PORTION = MAX_MESSAGE_BYTES  # bytes of one connection that are read at a time
-LOOK_MOST = 64 * PORTION  # and that are read before a task of its owner is sent on
+# By the protocol a set-up counts as received once its last byte is written, whether it was read or not, and
+# may cross a close for this long.  So after invalid data a connection is read for this long, and every set-up
+# that arrives is failed.
+CLOSE_RACE_NS = 50 * MS
+READ_BYTES = MAX_MESSAGE_BYTES  # read from one connection at a time
+MAX_PENDING_READ_BYTES = 64 * READ_BYTES  # read before a set-up of its owner is sent
 
 
-class Door(Protocol):
-    """What a connection needs of the door that it came through."""
+class OwnerConnHandler(Protocol):
+    """The server that accepted a connection, which the connection reports to."""
 
     loop: Loop
     report: Report
     tasks: Tasks
 
-    def unseen_since_ns(self) -> int: ...
+    def get_waited_since_ns(self) -> int: ...
 
-    def hear(self, conn: OwnerConn, message: Message) -> None: ...
+    def on_message(self, conn: OwnerConn, message: Message) -> None: ...
 
-    def heard(self, conn: OwnerConn) -> None:
-        """It said something, or has shown more than before."""
+    def on_activity(self, conn: OwnerConn) -> None:
+        """It sent something, or its trust has changed."""
 
-    def forget(self, conn: OwnerConn) -> None:
-        """Nothing more is taken from it."""
+    def remove_conn(self, conn: OwnerConn) -> None:
+        """Nothing more is accepted from it."""
 
-    def closing(self, conn: OwnerConn) -> None:
-        """What was written to it may not have left yet."""
+    def on_closing(self, conn: OwnerConn) -> None:
+        """It is being closed, but may still have unsent data."""
 
-    def closed(self, conn: OwnerConn) -> None: ...
+    def on_closed(self, conn: OwnerConn) -> None: ...
 
-    def tell_elsewhere(self, lost: OwnerConn) -> None: ...
+    def resend_lost(self, lost: OwnerConn) -> None: ...
 
 
 class OwnerConn:
     """One connection of an owner."""
 
-    def __init__(self, door: Door, sock: socket.socket) -> None:
-        self.door = door
-        self.since_ns = self.heard_ns = door.loop.now_ns()
+    def __init__(self, server: OwnerConnHandler, sock: socket.socket) -> None:
+        self.server = server
+        self.opened_ns = self.last_heard_ns = server.loop.now_ns()
         self.trust = Trust.NONE
-        self.partial_ns = 0  # since when a line is unfinished
-        self._unread_ns = 0  # where bytes lie unread, since when they may
-        self.read_ns = self.since_ns  # what was read last had come by then at the earliest
-        self.open: dict[str, Task] = {}
-        self._inbox: deque[Message | SignalError] = deque()  # read, and not yet acted on
-        self.alive = True  # False once it is closed or about to be
+        self.partial_since_ns = 0  # since when a line is incomplete, or 0
+        self._unread_since_ns = 0  # since when unread bytes may have waited, or 0
+        self.earliest_arrival_ns = self.opened_ns  # of the data that was read last
+        self.open_tasks: dict[str, Task] = {}
+        self._inbox: deque[Message | SignalError] = deque()  # read and not handled yet
+        self.alive = True  # False once it is closed or being closed
         self.reader = LineReader()
-        self.stream = Stream(door.loop, sock, self, max_read_bytes=PORTION)
+        self.stream = Stream(server.loop, sock, self, max_read_bytes=READ_BYTES)
         self.peer = self.stream.peer().rpartition(":")[0]
         if self.stream.has_unread():
-            self._unread_ns = door.unseen_since_ns()  # they came while it waited to be accepted
+            self._unread_since_ns = server.get_waited_since_ns()  # it waited to be accepted
 
     def on_data(self, stream: Stream, data: bytes) -> None:
-        self.heard_ns = self.door.loop.now_ns()
-        self.read_ns = self._unread_ns or self.door.loop.earliest_arrival_ns(stream.fileno())
-        self._unread_ns = self.read_ns if len(data) >= PORTION else 0
+        self.last_heard_ns = self.server.loop.now_ns()
+        self.earliest_arrival_ns = self._unread_since_ns or self.server.loop.earliest_arrival_ns(
+            stream.fileno()
+        )
+        self._unread_since_ns = self.earliest_arrival_ns if len(data) >= READ_BYTES else 0
         found, end = self.reader.feed(data)
         self._inbox.extend(found)
-        self._act()
+        self._handle_inbox()
         if self.alive:
-            self.door.heard(self)
+            self.server.on_activity(self)
         if not self.alive:
             if end is not None:
                 stream.close()
         elif end is not None:
-            self.door.report.line("owner.unreadable", peer=self.peer, why=str(end)[:120])
-            self.shut("unreadable", CROSSING_NS)
+            self.server.report.line("owner.unreadable", peer=self.peer, why=str(end)[:120])
+            self.close("unreadable", CLOSE_RACE_NS)
         if not self.reader.pending():
-            self.partial_ns = 0
-        elif found or not self.partial_ns:
-            self.partial_ns = self.heard_ns
+            self.partial_since_ns = 0
+        elif found or not self.partial_since_ns:
+            self.partial_since_ns = self.last_heard_ns
 
-    def _act(self) -> None:
+    def _handle_inbox(self) -> None:
         while self._inbox:
             each = self._inbox.popleft()
             if not self.alive:
-                self._take_last(each)
+                self._handle_while_closing(each)
             elif isinstance(each, SignalError):
-                self.turn_away(each)
+                self.reject(each)
             else:
-                self.door.hear(self, each)
+                self.server.on_message(self, each)
 
-    def look(self) -> None:
-        """Act on all that has come.
+    def read_pending(self) -> None:
+        """Read and handle all that has arrived.
 
-        Danger: behind bytes not read yet lies that the owner takes its set-up back, or its end; what is sent
-        on after that is for nobody.  So this is done before each attempt, also where reading is paused."""
-        self._act()
-        self.stream.read_now(LOOK_MOST)
+        Called before each attempt, also while reading is paused: the unread data may cancel the set-up or
+        end the connection, and then nobody would use the started task."""
+        self._handle_inbox()
+        self.stream.read_now(MAX_PENDING_READ_BYTES)
 
-    def turn_away(self, fault: SignalError) -> None:
-        """A message that can't be used: its sender is told, and its connection closed."""
-        self.door.report.line("owner.turned_away", peer=self.peer, why=str(fault)[:120])
+    def reject(self, fault: SignalError) -> None:
+        """Reject an invalid message: fail the set-up that it names, and close the connection."""
+        self.server.report.line("owner.turned_away", peer=self.peer, why=str(fault)[:120])
         if fault.id:
-            twin = self.open.pop(fault.id, None)
+            open_task = self.open_tasks.pop(fault.id, None)
             self._write(Message(Kind.RELEASE, fault.id, Cause.INVALID))
-            if twin is not None:
-                self.door.tasks.give_up(twin)
-        self.shut("turned away", CROSSING_NS)
+            if open_task is not None:
+                self.server.tasks.give_up(open_task)
+        self.close("turned away", CLOSE_RACE_NS)
 
-    def _take_last(self, each: Message | SignalError) -> None:
-        """What is read on a connection that is about to be closed: new set-ups fail, but what it says of
-        tasks that stand holds, as no connection owns these."""
+    def _handle_while_closing(self, each: Message | SignalError) -> None:
+        """Handle a message on a connection that is being closed: new set-ups fail, but messages about running
+        tasks are handled, as these do not belong to a connection."""
         if isinstance(each, SignalError):
             self._write(Message(Kind.RELEASE, each.id, Cause.INVALID))
         elif each.kind in (Kind.RELEASE, Kind.RELEASED) or is_handover(each):
-            self.door.hear(self, each)
+            self.server.on_message(self, each)
         elif each.kind is Kind.SETUP:
             self._write(Message(Kind.RELEASE, each.id, Cause.INVALID))
 
-    def shut(self, why: str, linger_ns: int = 0) -> None:
-        """Close, after lingering so long; each set-up that is open on it fails."""
+    def close(self, why: str, linger_ns: int = 0) -> None:
+        """Fail the open set-ups, and close the connection after `linger_ns`."""
         if not self.alive:
             return
-        for id in list(self.open):
+        for id in list(self.open_tasks):
             self._write(Message(Kind.RELEASE, id, Cause.BROKEN))
-        self._ended(why)
-        self.door.closing(self)
+        self._disconnect(why)
+        self.server.on_closing(self)
         if linger_ns:
-            self.door.loop.call_later(linger_ns, self.stream.close)
+            self.server.loop.call_later(linger_ns, self.stream.close)
         else:
             self.stream.close()
 
     def on_closed(self, stream: Stream, fault: BaseException | None) -> None:
-        self._ended(repr(fault)[:80])
-        self.door.closed(self)
+        self._disconnect(repr(fault)[:80])
+        self.server.on_closed(self)
 
-    def _ended(self, why: str) -> None:
+    def _disconnect(self, why: str) -> None:
         if not self.alive:
             return
         self.alive = False
-        self.door.forget(self)
-        if self.open:
-            self.door.report.line("owner.closed", peer=self.peer, why=why, open=len(self.open))
-        left, self.open = self.open, {}
+        self.server.remove_conn(self)
+        if self.open_tasks:
+            self.server.report.line("owner.closed", peer=self.peer, why=why, open=len(self.open_tasks))
+        left, self.open_tasks = self.open_tasks, {}
         for task in left.values():
-            self.door.tasks.give_up(task)
-        self.door.tell_elsewhere(self)
+            self.server.tasks.give_up(task)
+        self.server.resend_lost(self)
 
-    def put(self, message: Message) -> None:
+    def send(self, message: Message) -> None:
+        """Send a message unless it is closed; an answer or release ends the open set-up."""
         if message.kind in (Kind.ANSWER, Kind.RELEASE):
-            self.open.pop(message.id, None)
+            self.open_tasks.pop(message.id, None)
             if message.kind is Kind.ANSWER and self.alive:
-                self.trust = Trust.CARRIED
-                self.door.heard(self)
+                self.trust = Trust.HAD_TASK
+                self.server.on_activity(self)
         if self.alive:
             self._write(message)
 
     def _write(self, message: Message) -> None:
         self.stream.write(encode_line(message))
 
-    def silent_since_ns(self, now: int) -> int:
-        """Since when it has said nothing whole; now, where nothing is missing."""
-        return self.since_ns if self.trust is Trust.NONE else self.partial_ns or now
+    def get_silent_since_ns(self, now: int) -> int:
+        """Since when a complete message is missing; `now` if none is."""
+        return self.opened_ns if self.trust is Trust.NONE else self.partial_since_ns or now
 
-    def idle(self) -> bool:
-        """Nothing is open on it, and nothing has come that was not read yet: a set-up counts as taken once it
-        was written, and closing over it would lose it."""
-        return not self.open and not self.stream.has_unread()
+    def is_idle(self) -> bool:
+        """Whether nothing is open on it and nothing is unread.  A set-up counts as received once it was
+        written, so closing with unread data could lose one."""
+        return not self.open_tasks and not self.stream.has_unread()
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -22,7 +22,7 @@
 ROOT = Path(__file__).parents[2]
 
 
-def start(folder: Path, **changes: Any) -> tuple[subprocess.Popen[str], int]:
+def start_process(folder: Path, **changes: Any) -> tuple[subprocess.Popen[str], int]:
     port = free_port()
     file = {"journal": f"127.0.0.1:{free_port()}", "settings": settings(), "known": {"pos": 0, "entries": []}}
     (folder / "c.json").write_text(json.dumps(file))
@@ -56,8 +56,8 @@
     assert [row for row in bed.logged if row["event"] == "stopped"]
 
 
-def test_a_process_serves_and_ends_on_sigterm_with_all_that_was_taken_answered(tmp_path: Path) -> None:
-    child, port = start(tmp_path)
+def test_a_process_serves_and_ends_on_sigterm_with_all_set_ups_answered(tmp_path: Path) -> None:
+    child, port = start_process(tmp_path)
     assert child.stderr is not None
     assert json.loads(child.stderr.readline())["event"] == "ready"
     fields: dict[str, str | int | float] = {"class": "web", "left": "1500", "tenant": "north", "key": "k"}
@@ -68,7 +68,7 @@
         sock.sendall(encode_line(Message(Kind.PING, "0" * 16, 0)))
         assert json.loads(lines.readline())["type"] == "pong"
         (tmp_path / "c.json").write_text("{half")
-        child.send_signal(signal.SIGHUP)  # a file that can't be used changes nothing
+        child.send_signal(signal.SIGHUP)  # an invalid file changes nothing
         for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
             child.send_signal(number)
         sock.sendall(encode_line(Message(Kind.SETUP, "a" * 16, None, "x", fields)))
@@ -88,22 +88,22 @@
         ({"PROXY_LISTEN": "192.0.2.1:1"}, 1, "PROXY_LISTEN"),
     ],
 )
-def test_a_start_that_cannot_be_is_told_in_one_line(
+def test_a_failed_start_is_explained_in_one_line(
     tmp_path: Path, changes: dict[str, str], status: int, said: str
 ) -> None:
-    child, _ = start(tmp_path, **changes)
+    child, _ = start_process(tmp_path, **changes)
     _, text = child.communicate(timeout=20)
     assert child.returncode == status and said in text
     assert len(text.splitlines()) == 1
 
 
 def test_a_start_waits_for_a_port_that_its_predecessor_still_holds(tmp_path: Path) -> None:
-    # Guards against a restart that dies of the process before it, which has not quite ended.
+    # Guards against a restart that fails because the previous process has not quite ended.
     with socket.socket() as holder:
         holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        holder.bind((own_host(), 0))  # no caller of other tests is given this address and port
+        holder.bind((own_host(), 0))  # an address and port that no other test uses
         holder.listen()
-        child, _ = start(tmp_path, PROXY_LISTEN=":".join(map(str, holder.getsockname())))
+        child, _ = start_process(tmp_path, PROXY_LISTEN=":".join(map(str, holder.getsockname())))
         assert child.stderr is not None
         assert json.loads(child.stderr.readline())["event"] == "listen.taken"
     events = iter(json.loads(line)["event"] for line in child.stderr)
@@ -114,8 +114,8 @@
 
 
 def test_signals_until_the_last_moment_of_a_stop_end_no_process_by_a_signal(tmp_path: Path) -> None:
-    # Guards against a stop that counts as a crash: the interpreter resets its handlers as it ends.
-    child, _ = start(tmp_path)
+    # Guards against a stop that looks like a crash: the interpreter resets signal handlers when it exits.
+    child, _ = start_process(tmp_path)
     assert child.stderr is not None
     while "ready" not in child.stderr.readline():
         pass
@@ -142,11 +142,11 @@
 """
 
 
-def test_signals_while_a_process_starts_are_kept_until_it_can_act_on_them(tmp_path: Path) -> None:
-    # Guards against a start that a new configuration ends, as it comes while modules are loaded.
+def test_signals_while_a_process_starts_are_kept_until_it_can_handle_them(tmp_path: Path) -> None:
+    # Guards against a SIGHUP that ends a starting process, because it arrives while modules are imported.
     (tmp_path / "sitecustomize.py").write_text(SLOW_IMPORT)
     imports, goes_on = tmp_path / "imports", tmp_path / "goes_on"
-    child, _ = start(tmp_path, PYTHONPATH=str(tmp_path), IMPORTS=str(imports), GOES_ON=str(goes_on))
+    child, _ = start_process(tmp_path, PYTHONPATH=str(tmp_path), IMPORTS=str(imports), GOES_ON=str(goes_on))
     while not imports.exists():
         assert child.poll() is None
     child.send_signal(signal.SIGHUP)
