--- a/ladderhub/platform/config.py
+++ b/ladderhub/platform/config.py
@@ -1,6 +1,6 @@
-"""What a scheduler is told at its start: three variables of the environment and one file.
+"""The configuration of a scheduler: three environment variables and one file.
 
-The file is read and checked whole.  ConfigError says what, where and what was meant."""
+The file is read and checked as a whole.  ConfigError says what is wrong, where, and what was expected."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 MS = 1_000_000
 NEVER_NS = 1 << 62
 OWN_DESCRIPTORS = 12  # listener, selector, wake-up, standard streams, journal, a file
-SOCKETS_LEAST = 4 * OWN_DESCRIPTORS  # a quarter then goes to machines, half to owners
+MIN_SOCKETS = 4 * OWN_DESCRIPTORS  # a quarter then goes to machines, half to owners
 
 
 class ConfigError(LadderhubError):
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """A whole configuration.  Spans are nanoseconds."""
+    """A complete, checked configuration."""
 
     name: str
     listen: Address
@@ -66,20 +66,21 @@
     names: NameIndex
     known: tuple[JournalEvent, ...]
     pos: int
-    connect_ns: int
-    idle_ns: int  # machines close connections that were left idle for so long
-    dials_cost: bool  # new connections to machines are paid for
+    connect_timeout_ns: int
+    idle_timeout_ns: int  # machines close connections that were idle for this long
+    has_connection_price: bool  # new connections to machines have a price
 
 
-def address_of(text: str, where: str) -> Address:
+def read_address(text: str, where: str) -> Address:
+    """Parse HOST:PORT; ConfigError names the place that it was read from."""
     try:
         return parse_address(text)
     except ValueError as fault:
         raise ConfigError(str(fault), where=where) from None
 
 
-def load(environment: Mapping[str, str]) -> Config:
-    """Read the file that PROXY_CONFIG names; PROXY_NAME and PROXY_LISTEN go before what it says."""
+def load_config(environment: Mapping[str, str]) -> Config:
+    """Read the file that PROXY_CONFIG names; PROXY_NAME and PROXY_LISTEN override its fields."""
     path = environment.get("PROXY_CONFIG", "")
     if not path:
         raise ConfigError("not set", where="PROXY_CONFIG", expected="the path of the configuration file")
@@ -99,28 +100,28 @@
         limits, prices = read_object(file.settings, "ceilings"), read_object(file.settings, "prices")
     except (FieldError, ValueError, TypeError, AttributeError) as fault:
         raise ConfigError(str(fault), where=f"{path}: settings") from None
-    # On sockets a dial that came to nothing is no attempt: nobody has seen the set-up.
+    # A failed dial does not count as an attempt, since no machine received the set-up.
     settings = replace(settings, unreached_count=False)
-    if file.limits.sockets < SOCKETS_LEAST:
-        where, meant = f"{path}: limits.sockets", f"at least {SOCKETS_LEAST}"
+    if file.limits.sockets < MIN_SOCKETS:
+        where, meant = f"{path}: limits.sockets", f"at least {MIN_SOCKETS}"
         raise ConfigError(f"found {file.limits.sockets}", where=where, expected=meant)
     return Config(
         name=environment.get("PROXY_NAME") or file.name,
-        listen=address_of(listen, "PROXY_LISTEN"),
-        journal=address_of(file.journal, f"{path}: journal"),
-        seed=_seed(file.seed, path),
+        listen=read_address(listen, "PROXY_LISTEN"),
+        journal=read_address(file.journal, f"{path}: journal"),
+        seed=_parse_seed(file.seed, path),
         sockets=file.limits.sockets,
         settings=settings,
         names=names,
         known=tuple(decode_entry(entry) for entry in file.known.entries),
         pos=file.known.pos,
-        dials_cost=bool(prices.get("handshake")),
-        connect_ns=int(limits.get("dial-timeout-ns") or 250 * MS),
-        idle_ns=int(limits.get("conn-idle-ns") or NEVER_NS),
+        has_connection_price=bool(prices.get("handshake")),
+        connect_timeout_ns=int(limits.get("dial-timeout-ns") or 250 * MS),
+        idle_timeout_ns=int(limits.get("conn-idle-ns") or NEVER_NS),
     )
 
 
-def _seed(value: str | int, path: str) -> int:
+def _parse_seed(value: str | int, path: str) -> int:
     try:
         return value if isinstance(value, int) else int(value or "0", 16)
     except ValueError:
--- a/tests/platform/test_placing.py
+++ b/tests/platform/test_placing.py
@@ -1,18 +1,18 @@
-"""The share of a busy process that goes to placing what waits."""
+"""The share of time that a busy process spends on placing queued set-ups."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import Any
 
-from ladderhub.platform.placing import Placing
+from ladderhub.platform.placing import Placer
 
 MS = 1_000_000
 S = 1_000 * MS
 
 
 class BusyLoop:
-    """A loop whose rounds are long, and in which something always lies unread."""
+    """An event loop with long rounds that always has unread data."""
 
     def __init__(self) -> None:
         self.now = 0
@@ -27,40 +27,40 @@
     def call_soon(self, call: Callable[[], object]) -> None:
         self.calls.append(call)
 
-    def turn(self, span_ns: int) -> None:
+    def run_once(self, span_ns: int) -> None:
         self.now += span_ns
         calls, self.calls = self.calls, []
         for call in calls:
             call()
 
 
-class Waiting:
+class FakeSetup:
     def __init__(self, number: int) -> None:
-        self.line, self.until_ns, self.queued = number % 3, 100 * S, True
+        self.owner, self.until_ns, self.queued = number % 3, 100 * S, True
 
-    def waits(self) -> bool:
+    def is_waiting(self) -> bool:
         return self.queued
 
 
-def placed_in_a_second(round_ns: int, place_ns: int) -> int:
+def count_placed_in_a_second(round_ns: int, place_ns: int) -> int:
     loop: Any = BusyLoop()
-    placed: list[Waiting] = []
+    placed: list[FakeSetup] = []
 
     def place(each: Any) -> None:
         loop.now += place_ns
         each.queued = False
         placed.append(each)
 
-    placing = Placing(loop, 0, place)
+    placing = Placer(loop, 0, place)
     for number in range(1000):
-        each: Any = Waiting(number)
+        each: Any = FakeSetup(number)
         assert placing.add(each)
     while loop.now < S:
-        loop.turn(round_ns)
+        loop.run_once(round_ns)
     return len(placed)
 
 
-def test_while_something_lies_unread_reading_has_the_greater_part_and_placing_its_turns() -> None:
-    # Guards against either starving the other.
-    assert 10 <= placed_in_a_second(10 * MS, 10 * MS) <= 25
-    assert placed_in_a_second(200 * MS, 10 * MS) >= 5
+def test_with_unread_data_most_time_goes_to_reading_and_the_rest_to_placing() -> None:
+    # Guards against reading or placing starving the other.
+    assert 10 <= count_placed_in_a_second(10 * MS, 10 * MS) <= 25
+    assert count_placed_in_a_second(200 * MS, 10 * MS) >= 5
