--- a/ladderhub/lab/nodehost.py
+++ b/ladderhub/lab/nodehost.py
@@ -1,7 +1,8 @@
-"""Some emulated nodes in a process of their own, so that many of them do not wait for each other's turn.
+"""Emulated nodes in their own process, so that many nodes do not wait for each other's callbacks.
 
 `python -m ladderhub.lab.nodehost PLAN OUT` starts the nodes of the JSON file PLAN and, on SIGTERM, writes to
-OUT for each job when its offer came and when it ran (ns), and to OUT.stats what the process spent.
+OUT for each job the times of its offer and of its start (ns), and to OUT.stats the resources that the process
+used.
 """
 
 from __future__ import annotations
@@ -25,6 +26,8 @@
 
 
 class NodePlan(msgspec.Struct):
+    """One emulated node."""
+
     name: str
     kind: str
     cores: float
@@ -45,7 +48,10 @@
 
 
 class HostStats(msgspec.Struct):
-    """`traffic` by kind of peer: scheduler, directory; `starts` are jobs that ran."""
+    """Resources that the process used.
+
+    `traffic` is keyed by the kind of peer, scheduler or directory; `starts` counts the jobs that ran.
+    """
 
     processor_seconds: float
     traffic: dict[str, TrafficRow]
@@ -53,42 +59,42 @@
     starts: int
 
 
-class WatchedAgent(Agent):
-    """An agent that notes when an offer came and when its job ran."""
+class RecordingAgent(Agent):
+    """An agent that records when the first offer of a job arrived and when the job started."""
 
-    came: dict[str, int]
-    ran: dict[str, int]
+    offered_ns: dict[str, int]
+    started_ns: dict[str, int]
 
     def queue_job(self, request: Request, answer: Any) -> None:
-        self.came.setdefault(request.job, self.loop.now_ns())
+        self.offered_ns.setdefault(request.job, self.loop.now_ns())
         super().queue_job(request, answer)
 
     def _on_started(self, key: RunKey) -> None:
-        self.ran.setdefault(key[0], self.loop.now_ns())
+        self.started_ns.setdefault(key[0], self.loop.now_ns())
         super()._on_started(key)
 
 
 def main() -> None:
     plan: HostPlan = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=HostPlan)
     loop = Loop()
-    came: dict[str, int] = {}
-    ran: dict[str, int] = {}
+    offered_ns: dict[str, int] = {}
+    started_ns: dict[str, int] = {}
     traffic = Traffic()
     emulated = EmulatedSettings(plan.warm_ns, plan.cold_times)
     for node in plan.nodes:
         settings = NodeSettings(node.cores, node.memory, node.kind, plan.admit_cores, plan.admit_memory)
-        agent = WatchedAgent(
+        agent = RecordingAgent(
             loop, node.name, settings, EmulatedRunner(loop, emulated, node.seed), directory=plan.directory,
             rack=node.rack, evaluation_ns=(4_000_000, 15_000_000), cold_times=plan.cold_times, seed=node.seed,
             traffic=traffic,
         )  # fmt: skip
         agent.ready_ns = agent.admission.ready_ns = loop.now_ns() - 3600 * S
-        agent.came, agent.ran = came, ran
+        agent.offered_ns, agent.started_ns = offered_ns, started_ns
     loop.on_signal(signal.SIGTERM, loop.stop)
     loop.run()
     out = Path(sys.argv[2])
-    out.write_bytes(msgspec.json.encode({job: (came[job], ran[job]) for job in ran}))
-    stats = HostStats(time.process_time(), traffic.to_rows(), len(plan.nodes), len(ran))
+    out.write_bytes(msgspec.json.encode({job: (offered_ns[job], started_ns[job]) for job in started_ns}))
+    stats = HostStats(time.process_time(), traffic.to_rows(), len(plan.nodes), len(started_ns))
     out.with_name(out.name + ".stats").write_bytes(msgspec.json.encode(stats))
 
 
--- a/ladderhub/lab/scale/children.py
+++ b/ladderhub/lab/scale/children.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from ladderhub.lab.process import module
+from ladderhub.lab.process import build_module_command
 from ladderhub.lab.scale.measure import read_memory_bytes
 from ladderhub.lab.scale.plan import ScaleError
 
@@ -75,7 +75,9 @@
         self._max_processes, self._max_memory_bytes = max_processes, max_memory_gib * _GIB
         self.members: list[Child] = []
         self.peak_processes = self.peak_memory_bytes = 0
-        self._guard = subprocess.Popen(module("ladderhub.lab.scale.guard"), stdin=subprocess.PIPE)
+        self._guard = subprocess.Popen(
+            build_module_command("ladderhub.lab.scale.guard"), stdin=subprocess.PIPE
+        )
 
     def start(self, name: str, role: str, argv: Sequence[str], short_lived: bool = False) -> Child:
         """Start a process with its own log.  Raises `ScaleError` if there would be too many processes."""
--- a/ladderhub/lab/scale/fleet.py
+++ b/ladderhub/lab/scale/fleet.py
@@ -16,7 +16,7 @@
 
 from ladderhub.directory.wire import Listed, MessageDecoder, Watch, encode
 from ladderhub.lab.ports import free_port
-from ladderhub.lab.process import module
+from ladderhub.lab.process import build_module_command
 from ladderhub.lab.scale import settings as run_settings
 from ladderhub.lab.scale.changes import make_changed_settings
 from ladderhub.lab.scale.children import Child, Children
@@ -105,7 +105,7 @@
 
     def _start_directory(self) -> None:
         listen, stats = run_settings.format_address(self.directory_address), str(self.directory_stats)
-        argv = module("ladderhub", "directory", "--listen", listen, "--stats", stats)
+        argv = build_module_command("ladderhub", "directory", "--listen", listen, "--stats", stats)
         self.children.start("directory", DIRECTORY, argv)
 
     def _start_nodes(self) -> None:
@@ -123,7 +123,7 @@
         file, out = self.folder / f"{name}.plan.json", self.folder / f"{name}.out.json"
         file.write_bytes(msgspec.json.encode(plan))
         out.unlink(missing_ok=True)
-        argv = module(f"ladderhub.lab.scale.{module_name}", str(file), str(out))
+        argv = build_module_command(f"ladderhub.lab.scale.{module_name}", str(file), str(out))
         return HostProcess(self.children.start(name, role, argv), out)
 
     def _start_schedulers(self) -> None:
@@ -135,7 +135,7 @@
             file = folder / "settings.jsonnet"
             file.write_text(json.dumps(self._build_settings(index, name, listen, http, folder), indent=2))
             role = ELECTOR if index < self.electors else SCHEDULER
-            child = self.children.start(name, role, module("ladderhub", "serve", str(file)))
+            child = self.children.start(name, role, build_module_command("ladderhub", "serve", str(file)))
             self.schedulers.append(
                 RealScheduler(name, listen, http, self._peer_addresses[index], file, child)
             )
@@ -238,7 +238,7 @@
         file = self.folder / f"change-{number}.jsonnet"
         settings = json.loads(scheduler.file.read_text())
         file.write_text(json.dumps(make_changed_settings(settings, number)))
-        argv = module(
+        argv = build_module_command(
             "ladderhub",
             "policy",
             "apply",
--- a/ladderhub/lab/scale/load.py
+++ b/ladderhub/lab/scale/load.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from ladderhub.lab.client import Submission, attributes
+from ladderhub.lab.client import Submission, build_job_attributes
 from ladderhub.loop import Loop
 from ladderhub.loop.core import READ
 
@@ -119,7 +119,7 @@
         service = f"{klass.name}-{rng.randrange(klass.services)}"
         life_s = max(plan.life_least_s, rng.expovariate(1.0 / plan.life_s))
         cores, team = rng.choice(klass.cores), rng.choice(plan.teams)
-        attrs = attributes("job", service, cores, klass.memory_gib, life_s, team)
+        attrs = build_job_attributes("job", service, cores, klass.memory_gib, life_s, team)
         target = rng.choice(plan.targets)
         self._pending += 1
 
--- a/ladderhub/lab/scale/measure.py
+++ b/ladderhub/lab/scale/measure.py
@@ -13,7 +13,7 @@
 from prometheus_client.parser import text_string_to_metric_families
 
 from ladderhub.directory.stats import DirectoryStats
-from ladderhub.lab.load import cpu_s
+from ladderhub.lab.load import read_cpu_s
 from ladderhub.usage import traffic as usage
 
 PAGE_TIMEOUT_S = 10.0
@@ -96,7 +96,7 @@
     """Read the resource usage of a process and combine it with the given counters."""
     return Reading(
         time.monotonic(),
-        cpu_s(pid),
+        read_cpu_s(pid),
         read_waited_s(pid),
         read_memory_bytes(pid),
         count_descriptors(pid),
--- a/tests/lab/test_scale_parts.py
+++ b/tests/lab/test_scale_parts.py
@@ -11,7 +11,7 @@
 import msgspec
 import pytest
 
-from ladderhub.lab.process import module
+from ladderhub.lab.process import build_module_command
 from ladderhub.lab.scale.budgets import BudgetVerdict, all_hold, check_budgets, format_summary
 from ladderhub.lab.scale.changes import (
     compute_activation_times, compute_change_figures, draw_change_times, make_changed_settings,
@@ -484,7 +484,7 @@
 
 def test_guard_kills_the_processes_of_a_killed_run() -> None:
     child = subprocess.Popen([sys.executable, "-c", "import time; time.sleep(600)"])
-    guard = subprocess.Popen(module("ladderhub.lab.scale.guard"), stdin=subprocess.PIPE)
+    guard = subprocess.Popen(build_module_command("ladderhub.lab.scale.guard"), stdin=subprocess.PIPE)
     assert guard.stdin is not None
     guard.stdin.write(f"{child.pid}\n".encode())
     guard.stdin.close()
