--- a/ladderhub/lab/day.py
+++ b/ladderhub/lab/day.py
@@ -274,7 +274,7 @@
 
     def do_slow(self, fault: Fault) -> None:
         """Slow nodes down by the factor `by`."""
-        self._set_temporarily(fault, "slow", fault.by, 1.0)
+        self._set_temporarily(fault, "slowdown", fault.by, 1.0)
 
     do_neighbour = do_slow
 
@@ -284,7 +284,7 @@
         for step in range(1, 6):
             for agent in agents:
                 factor = 1 + (fault.by - 1) * step / 5
-                self.loop.call_later(round(fault.lasts * S * step / 5), setattr, agent, "slow", factor)
+                self.loop.call_later(round(fault.lasts * S * step / 5), setattr, agent, "slowdown", factor)
 
     def do_flush(self, fault: Fault) -> None:
         """Make nodes forget which services are warm."""
