--- a/ladderhub/rollout/types.py
+++ b/ladderhub/rollout/types.py
@@ -58,11 +58,11 @@
 
     def __post_init__(self) -> None:
         if self.max_replacing_slots < 1:
-            raise ValueError("at_once: must be at least 1")
+            raise ValueError("most_at_once: must be at least 1")
         if self.longest_wait_every < 2:
             raise ValueError("turn: must be at least 2")
         if not 0 <= self.min_backoff_ns <= self.max_backoff_ns:
-            raise ValueError("back_first: must be from 0 to back_most")
+            raise ValueError("back_first_ns: must be from 0 to back_most_ns")
 
 
 @dataclass(frozen=True, slots=True)
